--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,9 +1,9 @@
-//! What callers send and get over HTTP/1.1.
+//! Requests and responses between callers and daemons, over HTTP/1.1.
 //!
 //! `GET /v1/entries` answers with [`Entries`]. `POST /v1/completions` takes a
 //! [`CompletionRequest`] and answers with server-sent events: [`CompletionChunk`]s, then one
 //! event named `outcome` with an [`Outcome`], then `[DONE]`. `POST /v1/services/{name}` takes any
-//! body and answers with the service's own.
+//! body and answers with the body that the service returned.
 
 mod chunk;
 mod entries;
--- a/crates/wire/src/caller/chunk.rs
+++ b/crates/wire/src/caller/chunk.rs
@@ -3,64 +3,64 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Bytes of text that count as one token where the caller states no count.
+/// Number of bytes that are estimated as one token, since callers send no token count.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Tokens that a prompt of `bytes` bytes is taken to have, at least one.
+/// Estimates the number of tokens in a prompt of `bytes` bytes; at least one.
 pub fn estimated_tokens(bytes: usize) -> u64 {
     (bytes as u64).div_ceil(BYTES_PER_TOKEN).max(1)
 }
 
-/// Body of `POST /v1/completions`. Fields of other model interfaces are accepted and ignored.
+/// Body of `POST /v1/completions`. Unknown fields, as in other model APIs, are ignored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionRequest {
-    /// Model that is asked for.
+    /// Name of the requested model.
     pub model: ModelName,
-    /// Adapter of the model, if any.
+    /// Name of the requested adapter; absent for the plain model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<AdapterName>,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Most tokens that the answer may have.
+    /// Maximum number of tokens in the answer; 256 if absent.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
     /// Must be true or absent: answers are always streamed.
-    #[serde(default = "always")]
+    #[serde(default = "default_stream")]
     pub stream: bool,
 }
 
-/// Tokens of an answer where the caller states none.
+/// Value of `max_tokens` if the caller gives none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
 fn default_max_tokens() -> u32 {
     DEFAULT_MAX_TOKENS
 }
 
-fn always() -> bool {
+fn default_stream() -> bool {
     true
 }
 
-/// One server-sent event of an answer.
+/// One piece of a streamed answer, sent as a server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChunk {
-    /// The request that is answered.
+    /// Id of the request that the chunk answers.
     pub id: RequestId,
     /// Always `text_completion`.
     pub object: String,
-    /// Model that answers.
+    /// Name of the model, as requested.
     pub model: ModelName,
-    /// The one choice.
+    /// Exactly one choice.
     pub choices: Vec<CompletionChoice>,
 }
 
-/// Part of an answer.
+/// The content of a chunk.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletionChoice {
     /// Always 0.
     pub index: u32,
-    /// The text of this part.
+    /// Text that the chunk adds to the answer.
     pub text: String,
-    /// `stop` in the last part, else absent.
+    /// `stop` in the last chunk, otherwise null.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
--- a/crates/wire/src/caller/entries.rs
+++ b/crates/wire/src/caller/entries.rs
@@ -4,20 +4,20 @@
     std::net::SocketAddr,
 };
 
-/// The addresses that a caller may use, best first.
+/// Response of `GET /v1/entries`: the addresses that a caller may use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entries {
-    /// The entry instances.
+    /// Entry instances, best first.
     pub entries: Vec<Entry>,
-    /// How long the answer may be kept, in ms.
+    /// Time for which the response may be cached, in ms.
     pub ttl_ms: u64,
 }
 
-/// One entry instance.
+/// An instance that accepts requests from callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where to connect.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain that the instance runs in.
     pub failure_domain: FailureDomain,
 }
--- a/crates/wire/src/caller/outcome.rs
+++ b/crates/wire/src/caller/outcome.rs
@@ -4,20 +4,20 @@
     std::fmt,
 };
 
-/// How a request ended.
+/// The class of a request's end, which tells a caller whether repeating it is safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeKind {
-    /// The whole answer was passed on.
+    /// The complete answer was delivered.
     Completed,
     /// No target ran the request and none will.
     NotRun,
-    /// A target may have run the request.
+    /// A target may have run the request, entirely or in part.
     Unknown,
 }
 
 impl OutcomeKind {
-    /// The kind as it stands in headers and logs.
+    /// Returns the name used in headers, logs and serialized outcomes.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Completed => "completed",
@@ -33,60 +33,61 @@
     }
 }
 
-/// Why a request ended as it did.
+/// The cause of a request's outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The target's end mark was seen.
+    /// The target sent its complete answer.
     Done,
     /// The request is malformed.
     BadRequest,
-    /// Body or headers are over the limit.
+    /// The body or the headers exceed their size limit.
     TooLarge,
-    /// The account is not known or the key is wrong.
+    /// The account is unknown or the key is wrong.
     Unauthorized,
-    /// No record lets this account and caller use the model or service.
+    /// No record allows this account and caller to use the model or service.
     NotAllowed,
-    /// No record names the model or service.
+    /// No record defines the model or service.
     UnknownModel,
-    /// The deadline header is missing, not a number, or out of bounds.
+    /// The deadline header is missing, not a number, or out of range.
     BadDeadline,
-    /// The daemon holds no records yet.
+    /// The daemon has not received any records yet.
     NoRecords,
-    /// The request may not be repeated and carried no ticket.
+    /// The request must not run twice and carried no ticket.
     TicketNeeded,
-    /// The ticket's home no longer knows what became of the request.
+    /// The daemon that issued the ticket no longer knows whether the request ran.
     TicketLost,
-    /// No live target serves what was asked for.
+    /// No live target serves the requested model or service.
     NoTarget,
-    /// The prompt is longer than all engines together hold.
+    /// The prompt exceeds the memory of all engines together.
     PromptTooLong,
-    /// The answer can't be there by the deadline.
+    /// The answer is predicted to miss the deadline.
     DeadlineUnreachable,
-    /// The account has used up its share.
+    /// The account has used up its quota.
     AccountLimit,
-    /// The fleet has no room.
+    /// The fleet has no free capacity.
     FleetFull,
-    /// The daemon is about to leave; use another entry.
+    /// The daemon is shutting down; use another entry.
     Leaving,
-    /// The deadline passed.
+    /// The deadline passed before the request ended.
     DeadlineReached,
-    /// The target died or broke off.
+    /// The target died or closed the connection before the end of its answer.
     TargetLost,
-    /// The target sent nothing for too long.
+    /// The target sent nothing for longer than allowed.
     TargetSilent,
-    /// The target answered with a failure of its own.
+    /// The target returned an error.
     TargetFailed,
-    /// The request brought down targets and is refused.
+    /// The request is refused because targets crashed while running it.
     Poison,
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerGone,
-    /// The daemon was paused and dropped what it had queued.
+    /// The daemon's process was paused and its queued requests were dropped.
     Paused,
 }
 
 impl Reason {
-    /// HTTP status of an answer that was refused before its first byte.
+    /// Returns the HTTP status of a response that ends with this reason before any of its body was
+    /// sent.
     pub fn http_status(self) -> u16 {
         match self {
             Self::Done => 200,
@@ -111,21 +112,21 @@
     }
 }
 
-/// The typed end of each answer.
+/// The result of a request, sent at the end of each response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The request.
+    /// Id of the request that ended.
     pub request: RequestId,
-    /// How it ended.
+    /// Whether it completed, did not run, or may have run.
     pub outcome: OutcomeKind,
-    /// Why.
+    /// Cause of the outcome.
     pub reason: Reason,
-    /// What happened and what to do, in a sentence.
+    /// One sentence for people: what happened and what to do.
     pub message: String,
-    /// When asking again makes sense, in ms from now.
+    /// Time after which a retry makes sense, in ms from now; absent if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The ticket to send with a non-repeatable request.
+    /// Ticket to send with a non-repeatable request; set with [`Reason::TicketNeeded`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ticket: Option<Ticket>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Typed messages of whinlatch: what callers, targets, the platform and the daemons say to each
-//! other, and how each is encoded and decoded. Nothing here decides anything.
+//! Message types of whinlatch, exchanged between callers, targets, the platform and the daemons,
+//! with their encoding, decoding and validation. This crate contains no serving logic.
 
 pub mod caller;
 pub mod conf;
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,7 +1,7 @@
-//! What daemons say to each other: CBOR frames over websocket links.
+//! Messages that daemons exchange with each other: CBOR frames over websocket links.
 //!
-//! A frame carries any of its parts; a part or field that a daemon doesn't know is passed over,
-//! so that versions may be mixed. All numbers that tell an age are spans, never times of day.
+//! A frame carries any subset of its parts. Unknown parts and fields are ignored, so that daemons
+//! of different versions can share a fleet. Ages are sent as durations, never as times of day.
 
 mod codec;
 mod frame;
--- a/crates/wire/src/peer/codec.rs
+++ b/crates/wire/src/peer/codec.rs
@@ -1,29 +1,30 @@
 use {super::PeerFrame, thiserror::Error};
 
-/// Largest frame that is sent or accepted, in bytes.
+/// Largest encoded frame that is sent or accepted, in bytes.
 pub const MAX_FRAME_BYTES: usize = 4 * 1_048_576;
 
-/// A frame that can't be encoded or decoded.
+/// The error for a frame that can't be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum PeerCodecError {
-    /// The frame is over the limit.
-    #[error("a frame of {bytes} bytes is over the limit of {MAX_FRAME_BYTES}: send less in one")]
+    /// The frame exceeds [`MAX_FRAME_BYTES`].
+    #[error("a frame of {bytes} bytes exceeds the limit of {MAX_FRAME_BYTES}: split it up")]
     TooLarge {
-        /// Its size.
+        /// Size of the encoded frame, in bytes.
         bytes: usize,
     },
-    /// The bytes aren't a frame.
-    #[error("the bytes are not a peer frame ({detail}): close the link and connect anew")]
+    /// The bytes are not a valid frame, or the frame can't be represented in CBOR.
+    #[error("the bytes are not a peer frame ({detail}): close the link and reconnect")]
     Malformed {
-        /// What the codec says.
+        /// Message of the CBOR codec.
         detail: String,
     },
 }
 
-/// Encodes a frame.
+/// Encodes a frame as CBOR.
 ///
 /// # Errors
-/// [`PeerCodecError::TooLarge`] if the frame is over [`MAX_FRAME_BYTES`].
+/// [`PeerCodecError::TooLarge`] if the encoded frame exceeds [`MAX_FRAME_BYTES`];
+/// [`PeerCodecError::Malformed`] if the codec fails.
 pub fn encode_frame(frame: &PeerFrame) -> Result<Vec<u8>, PeerCodecError> {
     let mut bytes = Vec::new();
     ciborium::into_writer(frame, &mut bytes).map_err(|error| PeerCodecError::Malformed {
@@ -35,10 +36,11 @@
     Ok(bytes)
 }
 
-/// Decodes a frame. Unknown parts are passed over.
+/// Decodes a frame and ignores parts that this version doesn't know.
 ///
 /// # Errors
-/// [`PeerCodecError`] if the bytes are too many or no frame.
+/// [`PeerCodecError::TooLarge`] before anything is decoded if there are more than
+/// [`MAX_FRAME_BYTES`]; [`PeerCodecError::Malformed`] if the bytes are not a frame.
 pub fn decode_frame(bytes: &[u8]) -> Result<PeerFrame, PeerCodecError> {
     if bytes.len() > MAX_FRAME_BYTES {
         return Err(PeerCodecError::TooLarge { bytes: bytes.len() });
--- a/crates/wire/src/peer/frame.rs
+++ b/crates/wire/src/peer/frame.rs
@@ -4,92 +4,95 @@
     serde::{Deserialize, Serialize},
 };
 
-/// One message on a link; any of its parts may be absent.
+/// One message on a peer link. Any part may be absent; absent parts are not encoded.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PeerFrame {
-    /// Opens a link.
+    /// Identity of the sender, in its first frame on a link.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hello: Option<Hello>,
-    /// Proves that the sender holds the shared key.
+    /// Proof that the sender knows the shared peer key, in its second frame on a link.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub proof: Option<HelloProof>,
-    /// Shows that the sender is alive.
+    /// Liveness signal, with a summary of the sender's records.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub heartbeat: Option<Heartbeat>,
-    /// News that is passed on.
+    /// State changes that spread from daemon to daemon.
     #[serde(skip_serializing_if = "News::is_empty")]
     pub news: News,
-    /// All daemons that the sender holds to be alive. What it lacks is told in answer.
+    /// Stamps of all daemons that the sender considers alive, itself included. The receiver
+    /// replies with the member news that the stamps show to be missing or outdated at the sender.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub alive: Vec<MemberStamp>,
-    /// Asks for records.
+    /// Request for records that the sender may lack.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pull: Option<RecordPull>,
-    /// Answers a pull by buckets.
+    /// Response to a pull by buckets.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listing: Option<RecordListing>,
-    /// Records, tombstones among them.
+    /// Records, including tombstones.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub records: Vec<RecordEnvelope>,
-    /// Whether this is the last frame of the answer to a pull by keys.
+    /// Whether this is the last frame of the response to a pull by keys.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub pull_done: bool,
 }
 
-/// Sent at a fixed pace on each link, both ways.
+/// A liveness signal that both sides of a link send at a fixed interval.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Counts the heartbeats of this link.
+    /// Sequence number of the heartbeat on this link.
     pub number: u64,
-    /// What the sender holds of the records.
+    /// Summary of the records that the sender stores.
     pub records: RecordSummary,
 }
 
-/// Sums up what a daemon holds of the records, so that two can tell whether they agree.
+/// A summary of the records that a daemon stores. Two daemons with equal summaries have the same
+/// records.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordSummary {
-    /// Highest revision held.
+    /// Highest revision stored.
     pub newest: Revision,
-    /// Records held, tombstones included.
+    /// Number of records, tombstones included.
     pub count: u64,
-    /// Exclusive or of the hashes of all (key, revision) held.
+    /// XOR of the hashes of all stored records, each over key, revision and value.
     pub digest: u64,
 }
 
-/// Asks for records that the sender may lack: first by buckets, then by the keys that the listing
-/// showed to be of use.
+/// A request for records that the sender may lack: first by buckets, then by those keys of the
+/// returned listing that the sender lacks.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RecordPull {
-    /// All records after this revision.
+    /// Requests all records after this revision, if present.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after: Option<Revision>,
-    /// Digests of the sender's buckets; a listing of those that differ is wanted.
+    /// Digests of all the sender's buckets. Requests a listing of the buckets that differ.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub buckets: Vec<u64>,
-    /// Hashes of keys; all that is held of these keys is wanted.
+    /// Hashes of keys. Requests the records stored under these keys.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub keys: Vec<u64>,
 }
 
-/// What the sender holds in the buckets whose digests differ from those of a pull.
+/// The sender's records in those buckets whose digests differ from the ones in a pull.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RecordListing {
-    /// A stamp for each record held, tombstones included.
+    /// One stamp for each record, tombstones included.
     pub stamps: Vec<RecordStamp>,
 }
 
-/// Stands for one record. Travels as an array, since a listing may hold many.
+/// The identity and version of one record without its value. Encoded as an array, without field
+/// names, since a listing may contain many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, Revision, u32)", into = "(u64, Revision, u32)")]
 pub struct RecordStamp {
-    /// Hash of the key.
+    /// Hash of the record's key.
     pub key_hash: u64,
-    /// Revision.
+    /// Revision at which the record was last changed.
     pub revision: Revision,
-    /// Part of the hash of the value; 0 for a tombstone.
+    /// Low 32 bits of the hash of the value; 0 for a tombstone.
     pub value_hash: u32,
 }
 
--- a/crates/wire/src/peer/news.rs
+++ b/crates/wire/src/peer/news.rs
@@ -4,29 +4,29 @@
     std::net::SocketAddr,
 };
 
-/// News that daemons pass on to each other, each kind in its list.
+/// State changes that spread from daemon to daemon, one list for each kind.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct News {
-    /// Daemons.
+    /// States of daemons.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<MemberNews>,
-    /// Targets that leave, died or came.
+    /// Runs of targets that started, are leaving or are gone.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub targets: Vec<TargetNews>,
-    /// Work sent to targets.
+    /// Work that daemons have in flight or queued at targets.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<TargetLoad>,
-    /// Use of the fleet by accounts.
+    /// Recent use of the fleet by client accounts.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub accounts: Vec<AccountUse>,
-    /// Requests that bring down targets.
+    /// Requests that are suspected or known to crash targets.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub poison: Vec<PoisonNews>,
 }
 
 impl News {
-    /// Whether there is nothing to tell.
+    /// Returns whether all lists are empty.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
             && self.targets.is_empty()
@@ -36,53 +36,57 @@
     }
 }
 
-/// What a daemon is held to be.
+/// Membership state of a daemon. The order of the variants matters: of two statements with the
+/// same version the later state wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Alive.
+    /// Considered alive.
     Alive,
-    /// Silent; dead unless it says otherwise.
+    /// Silent. Becomes [`MemberState::Dead`] unless the daemon contradicts with a higher version.
     Suspect,
-    /// About to leave; takes nothing new.
+    /// Shutting down; accepts no new work.
     Leaving,
-    /// Dead. An incarnation never comes back from this.
+    /// Considered dead. Final for this incarnation.
     Dead,
 }
 
-/// A daemon's state. Of two about one incarnation the higher `version` wins, then the later state.
+/// The state of one daemon. Of two statements about the same incarnation the one with the higher
+/// `version` wins, then the one with the later state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberNews {
-    /// The run of the daemon.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// The instance it runs on.
+    /// Instance that the daemon runs on.
     pub instance: InstanceName,
-    /// Its failure domain.
+    /// Failure domain of that instance.
     pub failure_domain: FailureDomain,
-    /// Its address for callers.
+    /// Address at which it accepts requests from callers.
     pub caller_address: SocketAddr,
-    /// Its address for peers.
+    /// Address at which it accepts peer links.
     pub peer_address: SocketAddr,
-    /// Raised only by the daemon itself, to contradict a suspicion.
+    /// Version of the statement. Only the daemon itself raises it, to refute a suspicion.
     pub version: u64,
-    /// The state.
+    /// State that the statement asserts.
     pub state: MemberState,
 }
 
-/// A daemon's state in few bytes, so that all can be told of all. Travels as an array.
+/// A compact form of a daemon's state, so that a frame can list all daemons. Encoded as an array,
+/// without field names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64)", into = "(u64, u64, u64)")]
 pub struct MemberStamp {
-    /// First half of the incarnation.
+    /// Upper 64 bits of the daemon's incarnation.
     pub short: u64,
-    /// Version of the newest statement about it.
+    /// Version of the newest [`MemberNews`] about the daemon that the sender knows.
     pub version: u64,
-    /// Grows while the daemon is alive.
+    /// Counter that the daemon itself raises while it is alive; a higher value is a sign of life,
+    /// whoever passes it on.
     pub beat: u64,
 }
 
 impl MemberStamp {
-    /// The half of an incarnation that stands for it.
+    /// Returns the upper 64 bits of an incarnation, which identify it in a stamp.
     pub fn short_of(incarnation: Incarnation) -> u64 {
         (incarnation.0 >> 64) as u64
     }
@@ -104,82 +108,86 @@
     }
 }
 
-/// What a run of a target is held to be. Later values win over earlier ones and never go back.
+/// State of one run of a target. The order of the variants matters: a later state replaces an
+/// earlier one and never changes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetHealth {
-    /// Serves.
+    /// Accepts work.
     Serving,
-    /// About to leave; gets nothing new.
+    /// Shutting down; gets no new work.
     Leaving,
-    /// Gone.
+    /// Stopped or crashed. Final for this incarnation.
     Gone,
 }
 
-/// A target's state as some daemon knows it at first hand.
+/// The state of a target as observed directly by one of the daemons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetNews {
-    /// The target.
+    /// Target that was observed.
     pub target: TargetName,
-    /// The run that is meant.
+    /// Run of the target to which the state applies.
     pub incarnation: Incarnation,
-    /// Its state.
+    /// State of that run.
     pub health: TargetHealth,
 }
 
-/// Work that one daemon has at one target.
+/// The work that one daemon has at one target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// The daemon that sent the work.
+    /// Daemon that sent the work.
     pub origin: Incarnation,
-    /// Grows with each statement of this origin about this target.
+    /// Sequence number of the statement; grows per origin and target, the highest wins.
     pub number: u64,
-    /// The target.
+    /// Target that the work was sent to.
     pub target: TargetName,
-    /// Requests in flight there.
+    /// Number of this daemon's requests in flight at the target.
     pub in_flight: u32,
-    /// Predicted prefill time still to be done there, in ms.
+    /// Predicted prefill time that remains there for medium and long prompts, in ms.
     pub prefill_left_ms: u64,
-    /// The part of it that is of long prompts, in ms.
+    /// Part of `prefill_left_ms` that belongs to long prompts, in ms.
     #[serde(default)]
     pub long_left_ms: u64,
-    /// Time for which it helps others to read long prompts, not counted above, in ms.
+    /// Time for which the target helps other targets with the prefill of long prompts, in ms. Not
+    /// included in `prefill_left_ms`.
     #[serde(default)]
     pub helping_ms: u64,
-    /// Time of long prompts that wait for their turn there and are not counted above, in ms.
+    /// Predicted prefill time of long prompts that are queued for the target but not yet sent, in
+    /// ms. Not included in `prefill_left_ms`.
     #[serde(default)]
     pub claimed_ms: u64,
-    /// How long the first of them has waited, in ms.
+    /// Waiting time of the oldest of these queued prompts, in ms; 0 if there is none.
     #[serde(default)]
     pub claim_age_ms: u64,
 }
 
-/// What a client account used at one daemon of late.
+/// The recent use of the fleet by one client account at one daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccountUse {
-    /// The daemon that states it.
+    /// Daemon that measured the use.
     pub origin: Incarnation,
-    /// Grows with each statement of this origin about this account.
+    /// Sequence number of the statement; grows per origin and account, the highest wins.
     pub number: u64,
-    /// The account.
+    /// Client account that the figures belong to.
     pub account: AccountName,
-    /// Requests a second that were asked for, admitted or not.
+    /// Requests received per second, admitted or not.
     pub requests_per_s: f64,
-    /// Prompt tokens a second that were asked for, admitted or not.
+    /// Prompt tokens received per second, admitted or not.
     pub tokens_per_s: f64,
 }
 
-/// A request that brought down targets.
+/// Deaths of targets that are attributed to one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoisonNews {
-    /// Hash of account, path and body.
+    /// Hash of the request's account, path and body.
     pub fingerprint: u64,
-    /// Runs of targets that died while they ran it alone or as a suspect among others.
+    /// Runs of targets that died while the request was in flight there, either alone or, being a
+    /// suspect already, beside others.
     pub deaths: Vec<Incarnation>,
-    /// How much longer this is remembered, in ms. 0 says that the request completed since, so that
-    /// these deaths had another cause.
+    /// Remaining time for which the deaths are remembered, in ms. 0 means that the request has
+    /// since completed, so that these deaths had another cause.
     pub keep_ms: u64,
-    /// Those of `deaths` at which nothing else was in flight.
+    /// Subset of `deaths` at which no other request was in flight.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub alone: Vec<Incarnation>,
 }
--- a/crates/wire/src/record.rs
+++ b/crates/wire/src/record.rs
@@ -1,7 +1,7 @@
-//! Configuration records as operators publish them. Two schema versions are valid side by side.
+//! Configuration records as operators publish them. Two schema versions are valid at the same time.
 //!
-//! A record travels as a [`RecordEnvelope`] whose bytes are never rewritten, so that a daemon
-//! that doesn't know a schema version still passes the record on untouched.
+//! A record is sent as a [`RecordEnvelope`] whose value is never re-encoded, so that a daemon that
+//! doesn't know a schema version still passes the record on unchanged.
 
 mod account;
 mod body;
--- a/crates/wire/src/record/account.rs
+++ b/crates/wire/src/record/account.rs
@@ -3,26 +3,26 @@
     serde::{Deserialize, Serialize},
 };
 
-/// A client account: who may call for it and how much of the fleet it may use.
+/// A client account: its keys, its callers and its share of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AccountRecord {
-    /// Name of the account.
+    /// Name that callers state in the account header.
     pub account: AccountName,
-    /// SHA-256 digests, in hexadecimal, of the keys that callers of this account present.
+    /// SHA-256 digests, in hexadecimal, of the keys that authenticate callers of this account.
     pub key_sha256: Vec<String>,
-    /// Callers of the account; empty means any.
+    /// Callers that may use the account; empty means any.
     #[serde(default)]
     pub callers: Vec<CallerName>,
-    /// Requests a second over the whole fleet.
+    /// Quota of requests per second over the whole fleet.
     pub requests_per_s: f64,
-    /// Prompt tokens a second over the whole fleet.
+    /// Quota of prompt tokens per second over the whole fleet.
     pub tokens_per_s: f64,
-    /// Weight against other accounts when there is not enough for all.
-    #[serde(default = "one")]
+    /// Weight relative to other accounts when capacity is short; 1 if absent.
+    #[serde(default = "default_weight")]
     pub weight: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
--- a/crates/wire/src/record/body.rs
+++ b/crates/wire/src/record/body.rs
@@ -7,54 +7,54 @@
     thiserror::Error,
 };
 
-/// Oldest schema version that is still valid.
+/// Oldest schema version that this build accepts.
 pub const OLDEST_SCHEMA: u32 = 1;
-/// Newest schema version that this build knows.
+/// Newest schema version that this build accepts.
 pub const NEWEST_SCHEMA: u32 = 2;
 
-/// A record that was understood.
+/// The decoded value of a record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecordBody {
-    /// Which accounts and callers are served by which providers.
+    /// Assigns a model or service to accounts, callers and providers.
     Route(RouteRecord),
-    /// A client account.
+    /// Defines a client account with its keys and quotas.
     Account(AccountRecord),
-    /// A target.
+    /// Defines a target with its address and role.
     Target(TargetRecord),
-    /// What the deployment cares for.
+    /// Sets objectives and limits of the deployment.
     Policy(PolicyRecord),
 }
 
-/// Why a record isn't in force.
+/// The reason for which a record is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RecordFault {
-    /// The value isn't JSON.
+    /// The value is not valid JSON.
     #[error("the value is not valid JSON ({detail}): run `whinlatch check` on the file")]
     NotJson {
-        /// What the parser says, with line and column.
+        /// Message of the JSON parser, with line and column.
         detail: String,
     },
-    /// The schema version isn't known here.
+    /// The schema version is outside [`OLDEST_SCHEMA`] to [`NEWEST_SCHEMA`].
     #[error(
-        "schema {found} is not known here: publish schema {OLDEST_SCHEMA} to {NEWEST_SCHEMA}, \
-         or update this daemon"
+        "this daemon does not support schema {found}: publish schema {OLDEST_SCHEMA} to \
+         {NEWEST_SCHEMA}, or update this daemon"
     )]
     UnknownSchema {
         /// The version that the record states.
         found: u32,
     },
-    /// A field is missing, unknown or of the wrong type.
+    /// A field is missing, unknown, duplicated or has an invalid value.
     #[error("field `{path}`: {detail}")]
     BadField {
         /// Path of the field, such as `spec.providers[1].share_per_mille`.
         path: String,
-        /// What is wrong and what to write instead.
+        /// Description of the fault, followed by the remedy.
         detail: String,
     },
 }
 
-/// Reads a record's value. The verdict depends on the bytes alone, so that all daemons of one
-/// build agree on it.
+/// Parses and checks a record's value. The result depends on the bytes alone, so that all daemons
+/// of one build accept or reject the same records.
 ///
 /// # Errors
 /// The first fault of the value, with the field's path and the remedy.
@@ -64,10 +64,12 @@
     })?;
     let mut faults = Faults::default();
     let body = read_record(&Place::root(&node), &mut faults);
-    faults.into_result(body).map_err(|faults| first_of(&faults))
+    faults
+        .into_result(body)
+        .map_err(|faults| first_fault(&faults))
 }
 
-fn first_of(faults: &[ConfFault]) -> RecordFault {
+fn first_fault(faults: &[ConfFault]) -> RecordFault {
     match faults {
         [
             ConfFault {
--- a/crates/wire/src/record/policy.rs
+++ b/crates/wire/src/record/policy.rs
@@ -1,24 +1,25 @@
 use serde::{Deserialize, Serialize};
 
-/// What the deployment cares for. A missing field has the value of `PolicyRecord::default()`.
+/// Objectives and limits of the deployment. An absent field has the value of
+/// `PolicyRecord::default()`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PolicyRecord {
-    /// Weight of the time to first token of the longest prompts, 0 to 1.
+    /// Weight of the time to first token of the longest prompts as an objective, 0 to 1.
     pub long_first_token_weight: f64,
-    /// Weight of the slowdown of short requests, 0 to 1.
+    /// Weight of the slowdown of short requests as an objective, 0 to 1.
     pub short_slowdown_weight: f64,
-    /// Prompts of at least this many tokens count as long.
+    /// Number of tokens from which on a prompt is long.
     pub long_prompt_tokens: u64,
-    /// Reads of the platform a second, all daemons together.
+    /// Budget of reads of the platform per second, for all daemons together.
     pub platform_reads_per_s: f64,
-    /// Retries and hedges allowed for each 1,000 first attempts.
+    /// Maximum number of retries and hedges per 1,000 first attempts.
     pub retry_budget_per_mille: u32,
-    /// Targets that a request may bring down before it is refused in the whole fleet.
+    /// Number of targets that a request may crash before the whole fleet refuses it.
     pub poison_targets: u32,
-    /// How long callers may keep the answer of `GET /v1/entries`, in ms.
+    /// Time for which callers may cache the response of `GET /v1/entries`, in ms.
     pub entries_ttl_ms: u64,
-    /// Longest deadline that a caller may ask for, in ms.
+    /// Longest deadline that a caller may set, in ms.
     pub max_deadline_ms: u64,
 }
 
--- a/crates/wire/src/record/read.rs
+++ b/crates/wire/src/record/read.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a record and reports every fault of it.
+//! Parses the value of a record and collects all its faults.
 
 mod account;
 mod policy;
@@ -20,9 +20,9 @@
     std::ops::RangeInclusive,
 };
 
-/// Largest number that JSON tools keep exact.
+/// Largest integer that a JSON tool with double-precision numbers represents exactly.
 const MAX_COUNT: u64 = (1 << 53) - 1;
-/// Counts of things that there must be at least one of.
+/// Range of a count that must not be zero.
 const COUNT: RangeInclusive<u64> = 1..=MAX_COUNT;
 
 #[derive(Debug, Clone, Copy)]
@@ -40,8 +40,8 @@
     ("policy", Kind::Policy),
 ];
 
-/// Reads `{ schema, kind, spec }`. An unknown schema is the only fault told, since its fields may
-/// have any meaning.
+/// Reads `{ schema, kind, spec }`. With an unknown schema no other fault is reported, since its
+/// fields may have any meaning.
 pub(crate) fn read_record(place: &Place<'_>, faults: &mut Faults) -> Option<RecordBody> {
     let mut object = ObjectReader::open(place, faults)?;
     let schema = object.required("schema", "2", faults, whole_u32(0..=u32::MAX));
--- a/crates/wire/src/record/read/account.rs
+++ b/crates/wire/src/record/read/account.rs
@@ -6,7 +6,7 @@
     record::AccountRecord,
 };
 
-/// Hexadecimal digits of a SHA-256 digest.
+/// Number of hexadecimal digits in a SHA-256 digest.
 const DIGEST_DIGITS: usize = 64;
 
 pub(super) fn read_account(place: &Place<'_>, faults: &mut Faults) -> Option<AccountRecord> {
@@ -28,13 +28,13 @@
     })
 }
 
-/// Reads a digest. The text is not repeated in a message: it may be the key itself.
+/// Reads a digest. The fault doesn't quote the string, which may be the key itself.
 fn read_digest(place: &Place<'_>, faults: &mut Faults) -> Option<String> {
     let digest = text(place, faults)?;
     if digest.len() == DIGEST_DIGITS && digest.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Some(digest.to_ascii_lowercase());
     }
-    let found = format!("a text of {} bytes", digest.len());
+    let found = format!("a string of {} bytes", digest.len());
     let expected = "the SHA-256 digest of the key as 64 hexadecimal digits".to_owned();
     faults.add(place, FaultKind::OutOfRange { found, expected });
     None
--- a/crates/wire/src/record/read/route.rs
+++ b/crates/wire/src/record/read/route.rs
@@ -7,12 +7,13 @@
     record::{ProviderShare, RouteRecord, RouteSubject},
 };
 
-/// Thousandths in a whole.
+/// Sum of the shares of a route, in thousandths.
 const PER_MILLE: u32 = 1_000;
-/// Thousandths in one hundredth.
+/// Thousandths per hundredth.
 const PER_MILLE_IN_PERCENT: u32 = 10;
 
-/// Reads a route of schema 1, which states the share of the new provider in hundredths.
+/// Reads a route in schema 1, which gives the share of the provider `new` in hundredths; the rest
+/// goes to `old`.
 pub(super) fn read_route_v1(place: &Place<'_>, faults: &mut Faults) -> Option<RouteRecord> {
     let mut object = ObjectReader::open(place, faults)?;
     let subject = object.required("subject", SUBJECT_EXAMPLE, faults, read_subject);
@@ -40,7 +41,7 @@
     })
 }
 
-/// Reads a route of schema 2, which lists any number of providers.
+/// Reads a route in schema 2, which lists any number of providers with their shares.
 pub(super) fn read_route_v2(place: &Place<'_>, faults: &mut Faults) -> Option<RouteRecord> {
     let mut object = ObjectReader::open(place, faults)?;
     let subject = object.required("subject", SUBJECT_EXAMPLE, faults, read_subject);
--- a/crates/wire/src/record/route.rs
+++ b/crates/wire/src/record/route.rs
@@ -3,32 +3,32 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What a route is about.
+/// The model or service that a route serves.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "type", deny_unknown_fields)]
 pub enum RouteSubject {
     /// Prompts for a model.
     Model {
-        /// Model that callers name.
+        /// Name of the model as callers request it.
         model: ModelName,
-        /// Adapter that callers name, if any.
+        /// Name of the adapter as callers request it; absent for the plain model.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         adapter: Option<AdapterName>,
     },
-    /// Calls of a plain service.
+    /// Calls to a plain service.
     Service {
-        /// Service that callers name.
+        /// Name of the service as callers request it.
         service: ServiceName,
-        /// Whether a call may be run more than once.
+        /// Whether a call may safely run more than once. If not, callers need a ticket.
         idempotent: bool,
     },
 }
 
-/// Part of the traffic that goes to one provider.
+/// The share of a route's traffic that goes to one provider.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProviderShare {
-    /// The provider.
+    /// Provider that gets the traffic.
     pub provider: ProviderName,
     /// Version of the model that this provider must serve; any if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -37,11 +37,11 @@
     pub share_per_mille: u32,
 }
 
-/// States which client accounts and callers a model or service is for, and which provider serves
-/// what share. Schema 1 wrote `share_percent` for `old` and `new`; schema 2 lists providers.
+/// Access to a model or service and the split of its traffic over providers. Schema 1 gives the
+/// percentage of the provider `new`, the rest goes to `old`; schema 2 lists the providers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRecord {
-    /// What is routed.
+    /// Model or service that is routed.
     pub subject: RouteSubject,
     /// Client accounts that may use the route; empty means all.
     pub accounts: Vec<AccountName>,
--- a/crates/wire/src/record/target.rs
+++ b/crates/wire/src/record/target.rs
@@ -4,24 +4,25 @@
     std::net::SocketAddr,
 };
 
-/// What a target is.
+/// The kind of a target and what it serves.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "type", deny_unknown_fields)]
 pub enum TargetRole {
-    /// A model engine.
+    /// A model engine, which runs prompts.
     Engine {
         /// Models, adapters and versions that it must have loaded.
         models: Vec<ServedModel>,
-        /// Tokens that its KV cache holds.
+        /// Capacity of its KV cache, in tokens.
         memory_tokens: u64,
-        /// Prompt tokens it reads a second, as its operator states; corrected by what is learnt.
+        /// Prefill rate in prompt tokens per second, as configured by the operator. Initial
+        /// estimate that is corrected by the measured rate.
         prefill_tokens_per_s: u64,
-        /// Whether it refuses an order with an old fencing number.
+        /// Whether it refuses an order whose fencing number is lower than one it has seen.
         enforces_fencing: bool,
     },
-    /// A plain service.
+    /// A plain service, which runs calls.
     Service {
-        /// The service that it runs.
+        /// Name of the service.
         service: ServiceName,
     },
 }
@@ -30,12 +31,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServedModel {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// The adapter, if one is loaded.
+    /// Name of the adapter to load with the model; absent for the plain model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<AdapterName>,
-    /// Version of the weights.
+    /// Version of the model's weights.
     pub version: u32,
 }
 
@@ -43,16 +44,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TargetRecord {
-    /// Name of the target.
+    /// Name that identifies the target in the fleet.
     pub target: TargetName,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Failure domain it stands in.
+    /// Failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// Provider it belongs to.
+    /// Provider that it belongs to.
     pub provider: ProviderName,
-    /// Requests it works on at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Engine or plain service.
+    /// Kind of the target, with the settings of that kind.
     pub role: TargetRole,
 }
--- a/crates/wire/src/report.rs
+++ b/crates/wire/src/report.rs
@@ -1,4 +1,4 @@
-//! What operators read from a daemon.
+//! Reports on a daemon for operators, as JSON over HTTP.
 
 mod decisions;
 mod records;
--- a/crates/wire/src/report/decisions.rs
+++ b/crates/wire/src/report/decisions.rs
@@ -3,24 +3,24 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Why a request went where it did. Answer of `GET /v1/decisions/{request}`.
+/// Response of `GET /v1/decisions/{request}`: the decisions that one request went through.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionReport {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// What was decided, oldest first.
+    /// Decisions, oldest first.
     pub steps: Vec<DecisionStep>,
-    /// How it ended, if it has.
+    /// Result of the request; absent while it is in progress.
     pub outcome: Option<Outcome>,
 }
 
-/// One decision.
+/// One decision about a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionStep {
-    /// Since the request was taken in, in ms.
+    /// Time from the arrival of the request to the decision, in ms.
     pub after_ms: u64,
-    /// The part that decided, as in the prefix of its log lines.
+    /// Subsystem that decided, named as in the prefix of its log lines.
     pub part: String,
-    /// The decision in a short sentence.
+    /// The decision in one short sentence.
     pub text: String,
 }
--- a/crates/wire/src/report/records.rs
+++ b/crates/wire/src/report/records.rs
@@ -3,43 +3,43 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Answer of `GET /v1/records`.
+/// Response of `GET /v1/records`: the records that a daemon stores and their state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordsReport {
-    /// Instance that answers.
+    /// Instance that wrote the report.
     pub instance: InstanceName,
-    /// Highest revision that it holds.
+    /// Highest revision that it stores.
     pub newest: Revision,
-    /// The records, by key.
+    /// Records in the order of their keys.
     pub records: Vec<RecordStatus>,
 }
 
-/// What became of a record.
+/// The state of one record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordStatus {
-    /// Key of the record.
+    /// Key under which the record was published.
     pub key: RecordKey,
-    /// Newest revision seen.
+    /// Newest revision that this instance has received.
     pub revision: Revision,
-    /// Revision in force, if any; an older one where the newest was rejected.
+    /// Revision in force, if any. It is older than `revision` if the newest one was rejected.
     pub in_force: Option<Revision>,
-    /// What became of the newest revision.
+    /// State of the newest revision.
     pub state: RecordState,
-    /// Instances known to hold the newest revision, this one among them.
+    /// Instances known to store the newest revision, including this one.
     pub instances: Vec<InstanceName>,
 }
 
-/// What became of a revision.
+/// The state of one revision of a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum RecordState {
-    /// It is in force.
+    /// The revision is in force.
     InForce,
-    /// It deleted the record.
+    /// The revision deleted the record.
     Deleted,
-    /// It is invalid; the former revision stays in force.
+    /// The revision is invalid; the previous valid one stays in force.
     Rejected {
-        /// What is wrong, with the field's path and the remedy.
+        /// Description of the fault, with the field's path and the remedy.
         reason: String,
     },
 }
--- a/crates/wire/src/report/status.rs
+++ b/crates/wire/src/report/status.rs
@@ -6,70 +6,70 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Answer of `GET /v1/status`.
+/// Response of `GET /v1/status`: the state of a daemon and its view of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// Instance that answers.
+    /// Instance that wrote the report.
     pub instance: InstanceName,
-    /// Its run.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: FailureDomain,
-    /// Time since its start, in ms.
+    /// Time since the daemon started, in ms.
     pub uptime_ms: u64,
-    /// Whether it is about to leave.
+    /// Whether the daemon is shutting down.
     pub leaving: bool,
-    /// Requests in flight.
+    /// Number of requests in flight at this daemon.
     pub requests_in_flight: u64,
-    /// The platform as seen from here.
+    /// Connection to the platform.
     pub platform: PlatformStatus,
-    /// Highest revision of the records held.
+    /// Highest revision of the stored records.
     pub newest_revision: Revision,
-    /// Other daemons.
+    /// The other daemons that this one knows.
     pub peers: Vec<PeerStatus>,
-    /// Targets.
+    /// The targets that this daemon knows.
     pub targets: Vec<TargetStatus>,
 }
 
-/// The platform as seen from one daemon.
+/// The state of a daemon's connection to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformStatus {
-    /// Whether the last read was answered.
+    /// Whether the platform answered the last read.
     pub reachable: bool,
-    /// Reads so far.
+    /// Number of reads since the daemon started.
     pub reads: u64,
-    /// Since the last answer, in ms; absent before the first.
+    /// Time since the platform's last answer, in ms; absent before the first.
     pub last_answer_ms: Option<u64>,
 }
 
-/// Another daemon.
+/// Another daemon as the reporting one sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Its instance.
+    /// Instance that the peer runs on.
     pub instance: InstanceName,
-    /// Its run.
+    /// Incarnation of the peer.
     pub incarnation: Incarnation,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: FailureDomain,
-    /// What it is held to be.
+    /// Membership state of the peer.
     pub state: MemberState,
-    /// Whether a link to it is open.
+    /// Whether a peer link to it is open.
     pub linked: bool,
 }
 
-/// A target.
+/// A target as the reporting daemon sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// Its name.
+    /// Name of the target.
     pub target: TargetName,
-    /// Its run, if known.
+    /// Incarnation of the target, if known.
     pub incarnation: Option<Incarnation>,
-    /// What it is held to be.
+    /// State of the target.
     pub health: TargetHealth,
-    /// Requests of this daemon in flight there.
+    /// Number of this daemon's requests in flight at the target.
     pub in_flight: u32,
-    /// Predicted time to work off what waits there, in ms.
+    /// Predicted time until the target has finished its queued work, in ms.
     pub backlog_ms: u64,
-    /// Learnt prefill rate, in tokens a second; 0 for plain services.
+    /// Measured prefill rate, in tokens per second; 0 for plain services.
     pub prefill_tokens_per_s: f64,
 }
--- a/crates/wire/src/target.rs
+++ b/crates/wire/src/target.rs
@@ -1,6 +1,6 @@
-//! What targets are asked and what they answer, over HTTP/1.1 with JSON bodies.
+//! Requests of daemons to targets and their responses, over HTTP/1.1 with JSON bodies.
 //!
-//! | call | body | answer |
+//! | request | body | response |
 //! |---|---|---|
 //! | `POST /v1/generate` | [`GenerateRequest`] | server-sent [`StreamChunk`]s, or [`Refusal`] |
 //! | `POST /v1/call` | [`ServiceCall`] | [`ServiceAnswer`], or [`Refusal`] |
@@ -30,28 +30,28 @@
     service::{ServiceAnswer, ServiceCall},
 };
 
-/// Path for prompts.
+/// Path that accepts prompts.
 pub const GENERATE_PATH: &str = "/v1/generate";
-/// Path for calls of a plain service.
+/// Path that accepts calls to a plain service.
 pub const CALL_PATH: &str = "/v1/call";
 /// Path that cancels an attempt.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Path that sets memory aside.
+/// Path that reserves memory for a group of engines, or renews a reservation.
 pub const RESERVE_PATH: &str = "/v1/reserve";
-/// Path that gives memory back.
+/// Path that releases a reservation.
 pub const RELEASE_PATH: &str = "/v1/release";
-/// Path of the load report.
+/// Path of the target's [`LoadReport`].
 pub const REPORT_PATH: &str = "/v1/report";
-/// Path of the cache events.
+/// Path of the changes of an engine's prefix cache.
 pub const CACHE_EVENTS_PATH: &str = "/v1/cache_events";
-/// Path that makes cached blocks ready for another engine.
+/// Path that prepares cached blocks for transfer to another engine.
 pub const KV_EXPORT_PATH: &str = "/v1/kv/export";
 /// Path that fetches cached blocks from another engine.
 pub const KV_IMPORT_PATH: &str = "/v1/kv/import";
-/// Path for orders.
+/// Path that accepts orders.
 pub const ORDERS_PATH: &str = "/v1/orders";
-/// Path of the state that orders change.
+/// Path of the engine state that orders change.
 pub const STATE_PATH: &str = "/v1/state";
 
-/// Tokens in one block of a prompt's prefix chain.
+/// Number of tokens in one block of a prompt, the unit of prefix hashes.
 pub const PREFIX_BLOCK_TOKENS: u64 = 4_096;
--- a/crates/wire/src/target/generate.rs
+++ b/crates/wire/src/target/generate.rs
@@ -4,126 +4,128 @@
     std::net::SocketAddr,
 };
 
-/// Asks an engine to run a prompt.
+/// A request to an engine to run a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// The attempt; echoed in each chunk.
+    /// Id of the attempt, echoed in each chunk.
     pub attempt: AttemptId,
-    /// The daemon that owns the attempt.
+    /// Daemon that owns the attempt.
     pub owner: Incarnation,
-    /// The run of the target that is meant; another run refuses.
+    /// Run of the target that the request is for; any other run refuses it.
     pub expect_incarnation: Incarnation,
-    /// Time left, in ms. The engine drops the work after it.
+    /// Time until the deadline, in ms. The engine drops the prompt when it has passed.
     pub deadline_ms: u64,
-    /// 0 is most urgent, 9 least.
+    /// Scheduling priority, from 0 (most urgent) to 9.
     pub priority: u8,
     /// Model to run.
     pub model: ModelName,
-    /// Adapter to run.
+    /// Adapter to run; absent for the plain model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<AdapterName>,
-    /// Version that must be loaded; any if absent.
+    /// Version of the model that must be loaded; any if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u32>,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Hashes of the prompt's prefixes at each whole block, shortest first.
+    /// Hashes of the prompt's prefixes that end at whole blocks, shortest first.
     pub prefix_hashes: Vec<u64>,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
-    /// Go on after this chunk of an earlier attempt.
+    /// Sequence number of the last chunk received in an earlier attempt, after which the answer
+    /// continues; absent to start at the beginning.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub resume_after: Option<u64>,
-    /// Reservation at this engine that the prompt uses.
+    /// Reservation at this engine whose memory the prompt uses, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reservation: Option<AttemptId>,
-    /// The other engines of the group, where the prompt needs more than one.
+    /// Other engines of the group; empty if one engine has enough memory for the prompt.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub group: Vec<GroupMember>,
 }
 
-/// An engine that holds part of a prompt's memory for the engine that runs it.
+/// An engine that lends memory for a prompt to the engine that runs it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupMember {
-    /// Its address.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// The reservation made there.
+    /// Reservation of the memory at that engine.
     pub reservation: AttemptId,
 }
 
 /// One piece of an answer, sent as a server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamChunk {
-    /// The attempt that is answered.
+    /// Attempt that the chunk belongs to.
     pub attempt: AttemptId,
-    /// Counts the chunks of the whole answer from 0, across a resume.
+    /// Index of the chunk in the whole answer, from 0; continues across a resume.
     pub sequence: u64,
-    /// Text of this piece.
+    /// Text that the chunk adds to the answer.
     pub text: String,
-    /// Tokens of this piece.
+    /// Number of tokens in `text`.
     pub tokens: u32,
-    /// Whether the answer is whole with this chunk.
+    /// Whether this chunk completes the answer.
     #[serde(default)]
     pub end: bool,
 }
 
-/// Why a target didn't run a request.
+/// The reason for which a target refused a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// No slot or no memory.
+    /// The target has no free slot or not enough free memory.
     Full,
-    /// It is about to leave.
+    /// The target is shutting down.
     Leaving,
-    /// It is another run than the one meant.
+    /// The request was for another run of the target.
     OtherIncarnation,
-    /// The model, adapter or version isn't loaded.
+    /// The model, adapter or version is not loaded.
     NotLoaded,
-    /// The deadline passed while it waited.
+    /// The deadline passed while the request was queued.
     Expired,
-    /// The request is malformed or larger than the target can ever take.
+    /// The request is malformed or exceeds the target's total capacity.
     Invalid,
 }
 
-/// A target's word that the attempt was not run and never will be.
+/// A target's guarantee that it has not run an attempt and never will.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The attempt that was refused.
+    /// Attempt that was refused.
     pub attempt: AttemptId,
-    /// Why.
+    /// Cause of the refusal.
     pub reason: RefusalReason,
-    /// When there may be room, in ms.
+    /// Time after which the target may have capacity, in ms; absent if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// Ends an attempt and frees what it holds. Idempotent; an attempt that arrives later is refused.
+/// A request to stop an attempt and free its memory and slot. Idempotent. If the attempt arrives
+/// after the cancellation, the target refuses it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelRequest {
-    /// The attempt.
+    /// Attempt to stop.
     pub attempt: AttemptId,
 }
 
-/// Sets memory aside for a group. Sent again, it renews the hold.
+/// A request to reserve memory for a group of engines. Sending it again renews the reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// Names the reservation.
+    /// Id of the reservation, chosen by the owner.
     pub reservation: AttemptId,
-    /// The daemon that owns it.
+    /// Daemon that owns the reservation.
     pub owner: Incarnation,
-    /// The run of the target that is meant.
+    /// Run of the target that the request is for; any other run refuses it.
     pub expect_incarnation: Incarnation,
-    /// Tokens of memory.
+    /// Amount of memory, in tokens.
     pub tokens: u64,
-    /// How long it is held unless renewed, in ms.
+    /// Time after which the reservation expires unless renewed, in ms.
     pub hold_ms: u64,
 }
 
-/// Gives a reservation back. Idempotent.
+/// A request to release a reservation. Idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseRequest {
-    /// The reservation.
+    /// Reservation to release.
     pub reservation: AttemptId,
 }
--- a/crates/wire/src/target/kv.rs
+++ b/crates/wire/src/target/kv.rs
@@ -4,57 +4,57 @@
     std::net::SocketAddr,
 };
 
-/// A change of what an engine's prefix cache holds.
+/// The addition or eviction of one prefix in an engine's prefix cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; gaps show that some were lost.
+    /// Sequence number of the event. A gap means that events were lost.
     pub sequence: u64,
-    /// Hash of the prefix.
+    /// Hash of the prefix that was added or evicted.
     pub prefix_hash: u64,
-    /// Whether it was stored or evicted.
+    /// Whether the prefix was added; false if it was evicted.
     pub stored: bool,
 }
 
-/// Cache events after the one that was asked for.
+/// Response of `GET /v1/cache_events?after=N`: the events with a higher sequence number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The events, late and with gaps.
+    /// Events by sequence number. They arrive late and some may be missing.
     pub events: Vec<CacheEvent>,
 }
 
-/// Asks an engine to make a cached prefix ready for another engine.
+/// A request to an engine to prepare a cached prefix for transfer to another engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// Hash of the longest prefix wanted.
+    /// Hash of the longest prefix to export.
     pub prefix_hash: u64,
-    /// The daemon that asks.
+    /// Daemon that sent the request.
     pub owner: Incarnation,
-    /// How long the export is kept, in ms.
+    /// Time for which the engine keeps the export, in ms.
     pub hold_ms: u64,
 }
 
-/// An export that another engine may fetch.
+/// A handle to an export, with which another engine can fetch it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvHandle {
-    /// Names the export at its engine.
+    /// Id of the export, unique at its engine.
     pub handle: u64,
-    /// Tokens that it covers.
+    /// Number of tokens in the exported prefix.
     pub tokens: u64,
 }
 
-/// Asks an engine to fetch an export into its own cache.
+/// A request to an engine to fetch an export into its own cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvImport {
-    /// Engine that holds the export.
+    /// Address of the engine that has the export.
     pub from: SocketAddr,
-    /// The export.
+    /// Id of the export at that engine.
     pub handle: u64,
-    /// Hash of the prefix.
+    /// Hash of the exported prefix.
     pub prefix_hash: u64,
-    /// Tokens that it covers.
+    /// Number of tokens in the exported prefix.
     pub tokens: u64,
-    /// The daemon that asks.
+    /// Daemon that sent the request.
     pub owner: Incarnation,
 }
--- a/crates/wire/src/target/order.rs
+++ b/crates/wire/src/target/order.rs
@@ -6,7 +6,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What an engine works on.
+/// The phases of a prompt that an engine runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineMode {
@@ -19,55 +19,56 @@
     Decode,
 }
 
-/// Asks an engine to reach a state. The whole state is named, so the order is idempotent.
+/// A request to an engine to change to a state. It contains the complete state and is therefore
+/// idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Fencing number: the revision of the records that the state follows from.
+    /// Fencing number: the revision of the records from which the state was derived.
     pub fence: Revision,
-    /// The run of the engine that is meant.
+    /// Run of the engine that the order is for.
     pub expect_incarnation: Incarnation,
-    /// Models, adapters and versions to have loaded, and no others.
+    /// Complete set of models, with adapters and versions, to have loaded.
     pub models: Vec<ServedModel>,
-    /// What to work on.
+    /// Phases to run.
     pub mode: EngineMode,
 }
 
-/// What became of an order.
+/// An engine's decision on an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderVerdict {
-    /// The state holds already.
+    /// The engine is in the requested state already.
     Holds,
-    /// The order has begun.
+    /// The engine has started to change its state.
     Begun,
     /// Another order is in progress.
     Busy,
     /// The fencing number is lower than one already seen.
     OldFence,
-    /// Another run of the engine was meant.
+    /// The order was for another run of the engine.
     OtherIncarnation,
 }
 
-/// Answer to an order.
+/// The response to an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// The verdict.
+    /// Decision of the engine.
     pub verdict: OrderVerdict,
 }
 
-/// The state that orders change.
+/// Response of `GET /v1/state`: the engine state that orders change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The run of the engine.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Models, adapters and versions that are loaded.
+    /// Models that are loaded, with adapters and versions.
     pub models: Vec<ServedModel>,
-    /// What it works on.
+    /// Phases that the engine runs.
     pub mode: EngineMode,
     /// Whether an order is in progress.
     pub busy: bool,
-    /// Highest fencing number seen.
+    /// Highest fencing number that the engine has seen.
     pub fence: Revision,
-    /// Orders that began something.
+    /// Number of orders that started a change of state.
     pub orders_begun: u64,
 }
--- a/crates/wire/src/target/report.rs
+++ b/crates/wire/src/target/report.rs
@@ -3,24 +3,24 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Load of a target, as of some hundred ms ago.
+/// Response of `GET /v1/report`: the load of a target. The figures are some hundred ms old.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// The run of the target.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// Whether it is about to leave.
+    /// Whether the target is shutting down and accepts no new work.
     pub leaving: bool,
-    /// Requests at work.
+    /// Number of requests that run.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens that are still to be read, waiting ones included.
+    /// Number of prompt tokens for which prefill remains, those of queued requests included.
     pub prefill_tokens_left: u64,
-    /// Tokens of memory that are in use and can't yield.
+    /// Memory in use that can't be evicted, in tokens.
     pub memory_used_tokens: u64,
-    /// Tokens of memory in all.
+    /// Total memory, in tokens.
     pub memory_total_tokens: u64,
-    /// What is held and for whom.
+    /// Memory held for attempts and reservations.
     #[serde(default)]
     pub holdings: Vec<Holding>,
 }
@@ -28,14 +28,14 @@
 /// Memory held at a target for an attempt or a reservation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// The attempt or reservation.
+    /// Id of the attempt or reservation.
     pub attempt: AttemptId,
-    /// The daemon that owns it.
+    /// Daemon that owns it.
     pub owner: Incarnation,
-    /// Tokens held.
+    /// Amount of memory, in tokens.
     pub tokens: u64,
-    /// How long past its deadline it is, in ms; 0 if it isn't.
+    /// Time since its deadline passed, in ms; 0 if it has not.
     pub overdue_ms: u64,
-    /// Whether it is a reservation and not a running attempt.
+    /// Whether it is a reservation; false for a running attempt.
     pub reservation: bool,
 }
--- a/crates/wire/src/target/service.rs
+++ b/crates/wire/src/target/service.rs
@@ -3,32 +3,32 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Asks a plain service to run a call.
+/// A request to a plain service to run a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCall {
-    /// The attempt; echoed in the answer.
+    /// Id of the attempt, echoed in the response.
     pub attempt: AttemptId,
-    /// The daemon that owns the attempt.
+    /// Daemon that owns the attempt.
     pub owner: Incarnation,
-    /// The run of the target that is meant; another run refuses.
+    /// Run of the target that the call is for; any other run refuses it.
     pub expect_incarnation: Incarnation,
-    /// Time left, in ms.
+    /// Time until the deadline, in ms.
     pub deadline_ms: u64,
-    /// The service that is meant.
+    /// Name of the service to run.
     pub service: ServiceName,
-    /// Client account that calls.
+    /// Client account on whose behalf the call is made.
     pub account: AccountName,
-    /// The caller's body.
+    /// Body of the caller's request.
     pub body: String,
 }
 
-/// The whole answer of a plain service.
+/// The complete response of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// The attempt that is answered.
+    /// Attempt that the response belongs to.
     pub attempt: AttemptId,
-    /// HTTP status for the caller.
+    /// HTTP status to return to the caller.
     pub status: u16,
-    /// The service's body.
+    /// Body to return to the caller.
     pub body: String,
 }
