--- a/crates/wire/src/conf.rs
+++ b/crates/wire/src/conf.rs
@@ -1,5 +1,5 @@
-//! Settings of a daemon and record files: JSON with comments, checked whole. All faults are told
-//! at once, each with its line, the path of the field and the remedy.
+//! Settings of a daemon and record files, both JSON with comments. A file is checked completely:
+//! all faults are reported together, each with its line, the path of the field and the remedy.
 
 mod check;
 mod fault;
--- a/crates/wire/src/conf/fault.rs
+++ b/crates/wire/src/conf/fault.rs
@@ -1,17 +1,18 @@
 use {crate::record, std::fmt, thiserror::Error};
 
-/// Deepest nesting that is read. Parsing recurses, and a file of brackets alone would otherwise
-/// exhaust the stack and end the process.
+/// Maximum nesting depth of a file. The parser recurses, so that a file with nothing but opening
+/// brackets would otherwise overflow the stack and abort the process.
 pub const MAX_DEPTH: usize = 32;
 
-/// One fault of a settings or record file.
+/// One fault in a settings or record file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct ConfFault {
-    /// Line of the file, counted from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Path of the field, such as `limits.max_body_bytes`; empty where the whole file is meant.
+    /// Path of the field, such as `limits.max_body_bytes`; empty if the fault concerns the whole
+    /// file.
     pub path: String,
-    /// What is wrong and what to write instead.
+    /// Kind of the fault. Its message describes the fault and the remedy.
     pub kind: FaultKind,
 }
 
@@ -24,103 +25,104 @@
     }
 }
 
-/// What is wrong with a field. Each message ends with the remedy.
+/// The kind of a fault. Each message ends with the remedy.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FaultKind {
-    /// The text can't be parsed.
-    #[error("the text is not valid JSON with comments ({detail}): mend the syntax here")]
+    /// The file can't be parsed.
+    #[error("the text is not valid JSON with comments ({detail}): fix the syntax here")]
     Syntax {
-        /// What the parser says.
+        /// Message of the parser.
         detail: String,
     },
-    /// Objects and lists are nested too deeply.
-    #[error("values are nested deeper than {MAX_DEPTH} levels: write them flat")]
+    /// Objects and lists are nested deeper than `MAX_DEPTH` levels.
+    #[error("values are nested deeper than {MAX_DEPTH} levels: reduce the nesting")]
     TooDeep,
-    /// Nothing of this name is read.
+    /// The object has no field of this name, nor one of a similar name.
     #[error("this field is not known: write one of {}", known.join(", "))]
     UnknownField {
-        /// The fields that are read at this place.
+        /// Names of all fields of the object.
         known: Vec<&'static str>,
     },
-    /// Nothing of this name is read, but something of a similar one.
-    #[error("this field is not known: write `{meant}`{}", unit_note(*unit))]
+    /// The object has no field of this name, but one of a similar name.
+    #[error("this field is not known: write `{suggestion}`{}", unit_note(*unit))]
     Misspelt {
-        /// The field that was probably meant.
-        meant: &'static str,
-        /// Unit of that field, if it has one.
+        /// Name of the similar field, which was probably intended.
+        suggestion: &'static str,
+        /// Unit of that field, if its name states one.
         unit: Option<&'static str>,
     },
     /// A required field is absent.
     #[error("this field is missing: add it, such as {example}")]
     Missing {
-        /// An example of the field.
+        /// Example of the field, with name and value.
         example: String,
     },
-    /// A value of another type is needed.
+    /// The value has the wrong JSON type.
     #[error("found {found}: write {expected}")]
     WrongType {
-        /// Type of the value that was found.
+        /// Type of the value in the file.
         found: &'static str,
-        /// What is needed.
+        /// Description of the accepted values.
         expected: String,
     },
-    /// A number is written as text with a unit.
+    /// A number is written as a string, often with a unit.
     #[error("found the text {found:?}: write a number{} without quotes or unit{}",
         unit.map(|name| format!(" of {name}")).unwrap_or_default(),
-        plain.map(|number| format!(", here {number}")).unwrap_or_default())]
+        converted.map(|number| format!(", here {number}")).unwrap_or_default())]
     WrongUnit {
-        /// The text, cut to a length fit for a line.
+        /// The string, truncated for display.
         found: String,
-        /// Unit that the field's name states, if it does.
+        /// Unit that the field's name states, if any.
         unit: Option<&'static str>,
-        /// The same value in that unit, if it could be told.
-        plain: Option<u64>,
+        /// The value converted to that unit, if the string could be parsed.
+        converted: Option<u64>,
     },
-    /// A number is too small, too large or not whole.
+    /// A number is too small, too large or not an integer, or a value has the wrong size.
     #[error("found {found}: write {expected}")]
     OutOfRange {
-        /// The number.
+        /// The number, or a description of the size.
         found: String,
-        /// What is accepted.
+        /// Description of the accepted values.
         expected: String,
     },
-    /// A text isn't an IP address with a port.
+    /// A string is not an IP address with a port.
     #[error("{found:?} is not an address: write an IP number and a port, such as 10.0.0.1:7001")]
     BadAddress {
-        /// The text, cut to a length fit for a line.
+        /// The string, truncated for display.
         found: String,
     },
-    /// Others can't connect to the address.
-    #[error("others can't connect to {found}: write the IP number and port that they use")]
+    /// Other hosts can't connect to the address: it is unspecified (`0.0.0.0`, `::`) or its port
+    /// is 0.
+    #[error("other hosts can't connect to {found}: write the IP number and port that they use")]
     Unreachable {
-        /// The address.
+        /// The address in the file.
         found: String,
     },
-    /// The same thing stands twice.
-    #[error("{what} stands on line {first_line} already: write it once")]
-    Twice {
-        /// What is doubled.
+    /// A field, key or address that must be unique appears twice.
+    #[error("{what} already appears on line {first_line}: use it only once")]
+    Duplicate {
+        /// Description of the repeated item.
         what: String,
-        /// Where it stands first.
+        /// Line of its first occurrence.
         first_line: usize,
     },
-    /// A text or list must hold something.
+    /// A required string is empty or blank.
     #[error("this is empty: write {expected}")]
     Empty {
-        /// What is needed.
+        /// Description of the accepted values.
         expected: &'static str,
     },
-    /// A text isn't one of those accepted.
+    /// A string has a form or value that is not accepted.
     #[error("{found:?} is not accepted: write {expected}")]
-    BadText {
-        /// The text, cut to a length fit for a line.
+    InvalidString {
+        /// The string, truncated for display.
         found: String,
-        /// What is accepted.
+        /// Description of the accepted values.
         expected: String,
     },
-    /// The schema version of a record isn't known.
+    /// The schema version of a record is not supported.
     #[error(
-        "schema {found} is not known: write schema {} to {}",
+        "schema {found} is not supported: write schema {} to {}",
         record::OLDEST_SCHEMA,
         record::NEWEST_SCHEMA
     )]
@@ -128,10 +130,10 @@
         /// The version that the record states.
         found: u32,
     },
-    /// The shares of a route don't make a whole.
+    /// The shares of a route don't add up to 1,000 thousandths.
     #[error("the shares add up to {total}: make them add up to 1000")]
-    Shares {
-        /// Their sum.
+    ShareSum {
+        /// Sum of the shares, in thousandths.
         total: u64,
     },
 }
--- a/crates/wire/src/conf/file.rs
+++ b/crates/wire/src/conf/file.rs
@@ -6,19 +6,20 @@
     settings::Settings,
 };
 
-/// What a file turned out to be.
+/// The content of a checked file.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfFile {
-    /// Settings of a daemon.
+    /// The file contains the settings of a daemon.
     Settings(Box<Settings>),
-    /// Records.
+    /// The file contains records, possibly none.
     Records(Vec<RecordEntry>),
 }
 
-/// Reads a file that holds either settings, an object, or records, a list.
+/// Parses and checks a file of either kind: a list contains records, anything else is read as
+/// settings.
 ///
 /// # Errors
-/// All faults, by line.
+/// All faults, ordered by line.
 pub fn check_file(text: &str) -> Result<ConfFile, Vec<ConfFault>> {
     let node = parse_jsonc(text).map_err(|fault| vec![fault])?;
     if matches!(node.value, NodeValue::List(_)) {
--- a/crates/wire/src/conf/reader.rs
+++ b/crates/wire/src/conf/reader.rs
@@ -1,21 +1,21 @@
-//! Reads a tree of JSON values field by field and collects every fault on the way.
+//! Converts a tree of JSON values field by field into typed values and collects all faults.
 
 mod json;
 mod jsonc;
+mod location;
 mod node;
 mod object;
-mod place;
 mod units;
 mod values;
 
 pub(crate) use {
     json::parse_json,
     jsonc::parse_jsonc,
+    location::{Faults, Located, Location},
     node::NodeValue,
     object::ObjectReader,
-    place::{Faults, Place, Placed},
     values::{
-        choice, flag, list, name, number, plain_name, positive, reachable_address, secret, text,
-        whole, whole_u32,
+        boolean, choice, integer, integer_u32, list, name, number, positive_number,
+        reachable_address, secret, string, url_safe_name,
     },
 };
--- a/crates/wire/src/conf/reader/json.rs
+++ b/crates/wire/src/conf/reader/json.rs
@@ -8,7 +8,7 @@
     std::fmt,
 };
 
-/// Line given to each node: a record's value has no lines worth telling.
+/// Line number of each node: faults in a published record are located by path only.
 const ONLY_LINE: usize = 1;
 
 /// Parses JSON without comments.
@@ -40,7 +40,7 @@
     }
 
     fn visit_bool<E>(self, flag: bool) -> Result<NodeValue, E> {
-        Ok(NodeValue::Flag(flag))
+        Ok(NodeValue::Bool(flag))
     }
 
     fn visit_u64<E>(self, number: u64) -> Result<NodeValue, E> {
@@ -56,7 +56,7 @@
     }
 
     fn visit_str<E>(self, text: &str) -> Result<NodeValue, E> {
-        Ok(NodeValue::Text(text.to_owned()))
+        Ok(NodeValue::String(text.to_owned()))
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut items: A) -> Result<NodeValue, A::Error> {
--- a/crates/wire/src/conf/reader/jsonc.rs
+++ b/crates/wire/src/conf/reader/jsonc.rs
@@ -12,7 +12,7 @@
     serde_json::Number,
 };
 
-const STRICT_NAMES: ParseOptions = ParseOptions {
+const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
     allow_trailing_commas: true,
@@ -20,17 +20,17 @@
 
 /// Parses JSON with comments and trailing commas.
 pub(crate) fn parse_jsonc(text: &str) -> Result<Node, ConfFault> {
-    let lines = Lines::new(text);
-    scan_ahead(text, &lines)?;
-    let parsed = parse_to_ast(text, &CollectOptions::default(), &STRICT_NAMES)
+    let lines = LineIndex::new(text);
+    check_tokens(text, &lines)?;
+    let parsed = parse_to_ast(text, &CollectOptions::default(), &PARSE_OPTIONS)
         .map_err(|error| syntax_error(&error))?;
     let value = parsed.value.ok_or_else(|| syntax(1, "the file is empty"))?;
     to_node(&value, &lines)
 }
 
-/// Refuses what the parser lets pass or doesn't survive: nesting that exhausts its stack, missing
-/// commas and texts in single quotes.
-fn scan_ahead(text: &str, lines: &Lines) -> Result<(), ConfFault> {
+/// Rejects input that the parser accepts although it is invalid (missing commas, strings in single
+/// quotes) and nesting so deep that the recursive parser would overflow its stack.
+fn check_tokens(text: &str, lines: &LineIndex) -> Result<(), ConfFault> {
     let mut scanner = jsonc_parser::Scanner::new(text);
     let mut depth = 0_usize;
     let mut after_value = false;
@@ -39,11 +39,11 @@
             continue;
         }
         let line = lines.line_of(scanner.token_start());
-        if after_value && begins_value(&token) {
-            return Err(syntax(line, "a comma is missing before this"));
+        if after_value && starts_value(&token) {
+            return Err(syntax(line, "a comma is missing before this item"));
         }
         if matches!(token, Token::String(_)) && text[scanner.token_start()..].starts_with('\'') {
-            return Err(syntax(line, "texts stand in double quotes"));
+            return Err(syntax(line, "strings must be in double quotes"));
         }
         match token {
             Token::OpenBrace | Token::OpenBracket => depth += 1,
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-fn begins_value(token: &Token<'_>) -> bool {
+fn starts_value(token: &Token<'_>) -> bool {
     matches!(
         token,
         Token::OpenBrace | Token::OpenBracket | Token::Word(_)
@@ -83,13 +83,13 @@
     )
 }
 
-fn to_node(value: &Value<'_>, lines: &Lines) -> Result<Node, ConfFault> {
+fn to_node(value: &Value<'_>, lines: &LineIndex) -> Result<Node, ConfFault> {
     let line = lines.line_of(value.start());
     let value = match value {
         Value::NullKeyword(_) => NodeValue::Null,
-        Value::BooleanLit(flag) => NodeValue::Flag(flag.value),
+        Value::BooleanLit(flag) => NodeValue::Bool(flag.value),
         Value::NumberLit(number) => NodeValue::Number(to_number(number.value, line)?),
-        Value::StringLit(text) => NodeValue::Text(text.value.clone().into_owned()),
+        Value::StringLit(text) => NodeValue::String(text.value.clone().into_owned()),
         Value::Array(array) => {
             let items = array.elements.iter().map(|item| to_node(item, lines));
             NodeValue::List(items.collect::<Result<_, _>>()?)
@@ -115,7 +115,7 @@
 
 fn to_number(text: &str, line: usize) -> Result<Number, ConfFault> {
     text.parse()
-        .map_err(|_not_finite| syntax(line, "a number that can't be held"))
+        .map_err(|_not_finite| syntax(line, "the number can't be represented"))
 }
 
 fn syntax_error(error: &ParseError) -> ConfFault {
@@ -133,10 +133,10 @@
     }
 }
 
-/// Offsets at which lines begin.
-struct Lines(Vec<usize>);
+/// Byte offsets at which the lines of a file begin.
+struct LineIndex(Vec<usize>);
 
-impl Lines {
+impl LineIndex {
     fn new(text: &str) -> Self {
         let breaks = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
         Self(
@@ -146,7 +146,7 @@
         )
     }
 
-    /// Line of the byte at `offset`, counted from 1.
+    /// Returns the number of the line that contains the byte at `offset`, from 1.
     fn line_of(&self, offset: usize) -> usize {
         self.0.partition_point(|begin| *begin <= offset)
     }
--- a/crates/wire/src/conf/reader/place.rs
+++ b/crates/wire/src/conf/reader/location.rs
@@ -3,15 +3,15 @@
     crate::conf::fault::{ConfFault, FaultKind},
 };
 
-/// A node and the path that leads to it.
+/// A node and its path from the root of the file.
 #[derive(Debug, Clone)]
-pub(crate) struct Place<'n> {
+pub(crate) struct Location<'n> {
     pub path: String,
     pub node: &'n Node,
 }
 
-impl<'n> Place<'n> {
-    /// The root of a file.
+impl<'n> Location<'n> {
+    /// Returns the location of the root node, with an empty path.
     pub fn root(node: &'n Node) -> Self {
         Self {
             path: String::new(),
@@ -19,28 +19,28 @@
         }
     }
 
-    /// Path of a field of this object.
-    pub fn path_of(&self, field: &str) -> String {
+    /// Returns the path of a field of this object.
+    pub fn field_path(&self, field: &str) -> String {
         if self.path.is_empty() {
             return field.to_owned();
         }
         format!("{}.{field}", self.path)
     }
 
-    /// Path of an item of this list.
-    pub fn path_at(&self, index: usize) -> String {
+    /// Returns the path of an item of this list, counted from 0.
+    pub fn item_path(&self, index: usize) -> String {
         format!("{}[{index}]", self.path)
     }
 
-    /// The last field name of the path, whose suffix states the unit.
+    /// Returns the last field name of the path without list indices. Its suffix may state a unit.
     pub fn field_name(&self) -> &str {
         let last = self.path.rsplit('.').next().unwrap_or_default();
         last.split('[').next().unwrap_or_default()
     }
 
-    /// Puts a value read here together with where it was read.
-    pub fn with<T>(&self, value: T) -> Placed<T> {
-        Placed {
+    /// Combines a value that was read here with the path and line of this location.
+    pub fn locate<T>(&self, value: T) -> Located<T> {
+        Located {
             path: self.path.clone(),
             line: self.node.line,
             value,
@@ -48,9 +48,9 @@
     }
 }
 
-/// A value that remembers where it stood, for checks across fields.
+/// A value with its path and line, for faults that are found by comparing several fields.
 #[derive(Debug, Clone)]
-pub(crate) struct Placed<T> {
+pub(crate) struct Located<T> {
     pub path: String,
     pub line: usize,
     pub value: T,
@@ -63,8 +63,8 @@
 }
 
 impl Faults {
-    pub fn add(&mut self, place: &Place<'_>, kind: FaultKind) {
-        self.add_at(place.node.line, place.path.clone(), kind);
+    pub fn add(&mut self, location: &Location<'_>, kind: FaultKind) {
+        self.add_at(location.node.line, location.path.clone(), kind);
     }
 
     pub fn add_at(&mut self, line: usize, path: String, kind: FaultKind) {
@@ -75,7 +75,7 @@
         self.list.len()
     }
 
-    /// The value if it was read without faults; else all faults, by line.
+    /// Returns the value if there are no faults, otherwise all faults ordered by line.
     pub fn into_result<T>(mut self, value: Option<T>) -> Result<T, Vec<ConfFault>> {
         match value {
             Some(value) if self.list.is_empty() => Ok(value),
--- a/crates/wire/src/conf/reader/node.rs
+++ b/crates/wire/src/conf/reader/node.rs
@@ -1,9 +1,9 @@
 use serde_json::Number;
 
-/// A JSON value and the line it begins on.
+/// A JSON value and the line on which it begins.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Node {
-    /// Counted from 1.
+    /// Line number, from 1.
     pub line: usize,
     pub value: NodeValue,
 }
@@ -11,14 +11,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum NodeValue {
     Null,
-    Flag(bool),
+    Bool(bool),
     Number(Number),
-    Text(String),
+    String(String),
     List(Vec<Node>),
     Object(Vec<Field>),
 }
 
-/// A field of an object. Doubled fields are kept, so that they can be reported.
+/// A field of an object. Duplicate fields are kept, so that they can be reported.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Field {
     pub name: String,
@@ -27,13 +27,13 @@
 }
 
 impl NodeValue {
-    /// The type as fault messages tell it.
+    /// Returns the name of the JSON type for fault messages.
     pub fn type_name(&self) -> &'static str {
         match self {
             Self::Null => "null",
-            Self::Flag(_) => "true or false",
+            Self::Bool(_) => "true or false",
             Self::Number(_) => "a number",
-            Self::Text(_) => "a text",
+            Self::String(_) => "a string",
             Self::List(_) => "a list",
             Self::Object(_) => "an object",
         }
@@ -41,13 +41,13 @@
 }
 
 impl Node {
-    /// The same value as JSON without comments.
+    /// Converts the value to JSON without comments.
     pub fn to_json(&self) -> serde_json::Value {
         match &self.value {
             NodeValue::Null => serde_json::Value::Null,
-            NodeValue::Flag(flag) => serde_json::Value::Bool(*flag),
+            NodeValue::Bool(flag) => serde_json::Value::Bool(*flag),
             NodeValue::Number(number) => serde_json::Value::Number(number.clone()),
-            NodeValue::Text(text) => serde_json::Value::String(text.clone()),
+            NodeValue::String(text) => serde_json::Value::String(text.clone()),
             NodeValue::List(items) => items.iter().map(Self::to_json).collect(),
             NodeValue::Object(fields) => fields
                 .iter()
--- a/crates/wire/src/conf/reader/object.rs
+++ b/crates/wire/src/conf/reader/object.rs
@@ -1,151 +1,159 @@
 use {
     super::{
-        Faults, NodeValue, Place,
+        Faults, Location, NodeValue,
         node::{Field, Node},
         units,
     },
     crate::conf::fault::FaultKind,
 };
 
-/// Reads the fields of one object. Fields that nobody asked for are reported by `close`.
+/// Reads the fields of one object and records which ones were read. `finish` reports all others as
+/// unknown.
 #[derive(Debug)]
 pub(crate) struct ObjectReader<'n> {
-    place: Place<'n>,
+    location: Location<'n>,
     fields: &'n [Field],
     known: Vec<&'static str>,
     missing: Vec<(&'static str, &'static str)>,
 }
 
 impl<'n> ObjectReader<'n> {
-    /// Begins to read; anything but an object is a fault.
-    pub fn open(place: &Place<'n>, faults: &mut Faults) -> Option<Self> {
-        let node: &'n Node = place.node;
+    /// Starts to read the object at `location`. Reports a fault if the value is not an object.
+    pub fn open(location: &Location<'n>, faults: &mut Faults) -> Option<Self> {
+        let node: &'n Node = location.node;
         let NodeValue::Object(fields) = &node.value else {
             let found = node.value.type_name();
             let expected = "an object in braces".to_owned();
-            faults.add(place, FaultKind::WrongType { found, expected });
+            faults.add(location, FaultKind::WrongType { found, expected });
             return None;
         };
         Some(Self {
-            place: place.clone(),
+            location: location.clone(),
             fields,
             known: Vec::new(),
             missing: Vec::new(),
         })
     }
 
-    /// Reads a field that must be there. `example` is its value in the message if it isn't.
+    /// Reads a required field. If it is absent, `finish` reports that with `example` as its value.
     pub fn required<T>(
         &mut self,
         name: &'static str,
         example: &'static str,
         faults: &mut Faults,
-        read: impl FnOnce(&Place<'n>, &mut Faults) -> Option<T>,
+        read: impl FnOnce(&Location<'n>, &mut Faults) -> Option<T>,
     ) -> Option<T> {
-        let Some(place) = self.find(name) else {
+        let Some(location) = self.find(name) else {
             self.missing.push((name, example));
             return None;
         };
-        read(&place, faults)
+        read(&location, faults)
     }
 
-    /// Reads a field that has a value also where it is absent.
-    pub fn or<T>(
+    /// Reads an optional field, whose value is `absent` if the object doesn't contain it.
+    pub fn with_default<T>(
         &mut self,
         name: &'static str,
         absent: T,
         faults: &mut Faults,
-        read: impl FnOnce(&Place<'n>, &mut Faults) -> Option<T>,
+        read: impl FnOnce(&Location<'n>, &mut Faults) -> Option<T>,
     ) -> Option<T> {
         match self.find(name) {
-            Some(place) => read(&place, faults),
+            Some(location) => read(&location, faults),
             None => Some(absent),
         }
     }
 
-    /// Reads a field that may be absent or null.
+    /// Reads an optional field; both an absent field and null are read as `Some(None)`.
     #[expect(
         clippy::option_option,
-        reason = "the outer one tells a fault, the inner one absence"
+        reason = "the outer option is None after a fault, the inner one if the field is absent"
     )]
     pub fn optional<T>(
         &mut self,
         name: &'static str,
         faults: &mut Faults,
-        read: impl FnOnce(&Place<'n>, &mut Faults) -> Option<T>,
+        read: impl FnOnce(&Location<'n>, &mut Faults) -> Option<T>,
     ) -> Option<Option<T>> {
         match self.find(name) {
-            Some(place) if place.node.value != NodeValue::Null => read(&place, faults).map(Some),
+            Some(location) if location.node.value != NodeValue::Null => {
+                read(&location, faults).map(Some)
+            }
             _ => Some(None),
         }
     }
 
-    /// Reports fields that are missing, unknown or doubled.
-    pub fn close(self, faults: &mut Faults) {
-        let mut meant = Vec::new();
+    /// Reports missing, unknown and duplicate fields.
+    pub fn finish(self, faults: &mut Faults) {
+        let mut suggested = Vec::new();
         for (index, field) in self.fields.iter().enumerate() {
-            let path = self.place.path_of(&field.name);
+            let path = self.location.field_path(&field.name);
             if let Some(first) = self.fields[..index].iter().find(|it| it.name == field.name) {
-                let what = format!("the field `{}`", units::shown(&field.name));
+                let what = format!("the field `{}`", units::truncate(&field.name));
                 faults.add_at(
                     field.line,
                     path,
-                    FaultKind::Twice {
+                    FaultKind::Duplicate {
                         what,
                         first_line: first.line,
                     },
                 );
             } else if !self.known.contains(&field.name.as_str()) {
-                let kind = self.unknown(&field.name);
-                if let FaultKind::Misspelt { meant: name, .. } = kind {
-                    meant.push(name);
+                let kind = self.unknown_field(&field.name);
+                if let FaultKind::Misspelt { suggestion, .. } = kind {
+                    suggested.push(suggestion);
                 }
-                faults.add_at(field.line, units::shown(&path), kind);
+                faults.add_at(field.line, units::truncate(&path), kind);
             }
         }
-        self.report_missing(&meant, faults);
+        self.report_missing(&suggested, faults);
     }
 
-    /// Reports missing fields only: which others belong depends on a field that was faulty.
-    pub fn close_untyped(self, faults: &mut Faults) {
+    /// Reports missing fields only. For an object whose `type` is faulty, since the set of known
+    /// fields depends on the type.
+    pub fn finish_untyped(self, faults: &mut Faults) {
         self.report_missing(&[], faults);
     }
 
-    /// Reports missing fields but for those of `meant`: a misspelt field is told once, not as
-    /// unknown and missing.
-    fn report_missing(&self, meant: &[&str], faults: &mut Faults) {
+    /// Reports missing fields except the `suggested` ones, so that a misspelt field is reported
+    /// once and not as both unknown and missing.
+    fn report_missing(&self, suggested: &[&str], faults: &mut Faults) {
         for (name, example) in self
             .missing
             .iter()
-            .filter(|(name, _)| !meant.contains(name))
+            .filter(|(name, _)| !suggested.contains(name))
         {
             let kind = FaultKind::Missing {
                 example: format!("\"{name}\": {example}"),
             };
-            faults.add_at(self.place.node.line, self.place.path_of(name), kind);
+            faults.add_at(
+                self.location.node.line,
+                self.location.field_path(name),
+                kind,
+            );
         }
     }
 
-    fn find(&mut self, name: &'static str) -> Option<Place<'n>> {
+    fn find(&mut self, name: &'static str) -> Option<Location<'n>> {
         self.known.push(name);
         let field = self.fields.iter().find(|field| field.name == name)?;
-        Some(Place {
-            path: self.place.path_of(name),
+        Some(Location {
+            path: self.location.field_path(name),
             node: &field.node,
         })
     }
 
-    fn unknown(&self, name: &str) -> FaultKind {
+    fn unknown_field(&self, name: &str) -> FaultKind {
         let absent = |known: &&&'static str| !self.fields.iter().any(|it| it.name == **known);
         match self
             .known
             .iter()
             .filter(absent)
-            .find(|known| units::similar(name, known))
+            .find(|known| units::is_similar(name, known))
         {
-            Some(meant) => FaultKind::Misspelt {
-                meant,
-                unit: units::unit_of(meant),
+            Some(suggestion) => FaultKind::Misspelt {
+                suggestion,
+                unit: units::unit_of(suggestion),
             },
             None => FaultKind::UnknownField {
                 known: self.known.clone(),
--- a/crates/wire/src/conf/reader/units.rs
+++ b/crates/wire/src/conf/reader/units.rs
@@ -1,11 +1,13 @@
-//! Units as field names state them by their suffix.
+//! Units of fields, which the suffixes of their names state, and detection of misspelt names.
 
-/// Longest part of a refused text that is told.
-const SHOWN_CHARS: usize = 60;
-/// Fewest letters of a name in which two wrong letters are taken for a slip.
-const LONG_NAME: usize = 5;
+/// Maximum length of a quoted string or path in a fault message, in characters.
+const MAX_SHOWN_CHARS: usize = 60;
+/// Minimum length of a name, in bytes, for which two wrong letters count as a misspelling; for
+/// shorter names only one does.
+const MIN_LONG_NAME_BYTES: usize = 5;
 
-/// Suffixes that state a unit, longest first, and the unit's name where fields here use it.
+/// Suffixes that state a unit, longest first, each with the name of the unit if a known field uses
+/// it.
 const SUFFIXES: [(&str, Option<&str>); 24] = [
     ("_milliseconds", None),
     ("_per_second", None),
@@ -33,7 +35,7 @@
     ("_h", None),
 ];
 
-/// Units in which people write times and sizes, with their count of the field's unit.
+/// Common abbreviations of units of time, with their factor to milliseconds.
 const TIMES_IN_MS: [(&str, u64); 8] = [
     ("ms", 1),
     ("s", 1_000),
@@ -44,6 +46,7 @@
     ("min", 60_000),
     ("h", 3_600_000),
 ];
+/// Common abbreviations of units of size, with their factor to bytes.
 const SIZES_IN_BYTES: [(&str, u64); 7] = [
     ("b", 1),
     ("kb", 1_000),
@@ -54,7 +57,7 @@
     ("gib", 1_073_741_824),
 ];
 
-/// Unit that the name of a field states, if it does.
+/// Returns the unit that the name of a field states, if any.
 pub(super) fn unit_of(field: &str) -> Option<&'static str> {
     SUFFIXES
         .iter()
@@ -62,8 +65,9 @@
         .and_then(|(_, unit)| *unit)
 }
 
-/// The value of a text such as `5s` in the unit of `field`.
-pub(super) fn plain_value(text: &str, field: &str) -> Option<u64> {
+/// Converts a string such as `5s` to a number in the unit of `field`. Returns `None` if the string
+/// can't be parsed or the units don't match.
+pub(super) fn convert_to_field_unit(text: &str, field: &str) -> Option<u64> {
     let text = text.trim();
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
@@ -81,21 +85,27 @@
     number.checked_mul(*factor)
 }
 
-/// Whether `written` is probably a slip for `known`: another unit or up to two wrong letters.
-pub(super) fn similar(written: &str, known: &str) -> bool {
-    let allowed = if known.len() >= LONG_NAME { 2 } else { 1 };
-    stem(written) == stem(known) || distance(written, known) <= allowed
+/// Returns whether `written` is probably a misspelling of `known`: the same name with another unit,
+/// or up to two wrong letters.
+pub(super) fn is_similar(written: &str, known: &str) -> bool {
+    let allowed = if known.len() >= MIN_LONG_NAME_BYTES {
+        2
+    } else {
+        1
+    };
+    without_unit(written) == without_unit(known) || edit_distance(written, known) <= allowed
 }
 
-fn stem(name: &str) -> &str {
+fn without_unit(name: &str) -> &str {
     SUFFIXES
         .iter()
         .find_map(|(suffix, _)| name.strip_suffix(suffix))
         .unwrap_or(name)
 }
 
-/// Letters to add, drop or change to make one name of the other.
-fn distance(left: &str, right: &str) -> usize {
+/// Returns the Levenshtein distance of two names, or `usize::MAX` if their lengths differ by more
+/// than two.
+fn edit_distance(left: &str, right: &str) -> usize {
     if left.len().abs_diff(right.len()) > 2 {
         return usize::MAX;
     }
@@ -113,7 +123,7 @@
     row[right.len()]
 }
 
-/// A text cut to a length fit for a line.
-pub(super) fn shown(text: &str) -> String {
-    text.chars().take(SHOWN_CHARS).collect()
+/// Truncates a string for display in a fault message.
+pub(super) fn truncate(text: &str) -> String {
+    text.chars().take(MAX_SHOWN_CHARS).collect()
 }
--- a/crates/wire/src/conf/settings.rs
+++ b/crates/wire/src/conf/settings.rs
@@ -4,38 +4,38 @@
     std::net::SocketAddr,
 };
 
-/// Settings of a daemon.
+/// The settings of a daemon, read once at its start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the instance.
+    /// Name of the instance that the daemon runs on.
     pub instance: InstanceName,
     /// Failure domain of the instance.
     pub failure_domain: FailureDomain,
-    /// Address for callers and operators.
+    /// Address at which the daemon accepts requests from callers and operators.
     pub caller_address: SocketAddr,
-    /// Address for other daemons.
+    /// Address at which the daemon accepts links from other daemons.
     pub peer_address: SocketAddr,
     /// Address of the platform's configuration service.
     pub platform_address: SocketAddr,
-    /// Peer addresses of some other daemons, for a start while the platform is down.
+    /// Peer addresses of some other daemons, to join the fleet while the platform is unavailable.
     #[serde(default)]
     pub seed_peers: Vec<SocketAddr>,
-    /// Key that all daemons share; a daemon without it is turned away.
+    /// Secret shared by all daemons. Peer links from daemons with another key are rejected.
     pub peer_key: String,
-    /// Time a graceful shutdown may take, in ms.
+    /// Maximum duration of a graceful shutdown, in ms.
     #[serde(default = "default_shutdown_ms")]
     pub shutdown_ms: u64,
     /// Limits on what callers may send.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Logs.
+    /// Format and level of the log.
     #[serde(default)]
     pub log: LogSettings,
 }
 
 impl Settings {
-    /// Time a graceful shutdown may take where the settings state none, in ms.
+    /// Value of `shutdown_ms` if the settings give none, in ms.
     pub const DEFAULT_SHUTDOWN_MS: u64 = 30_000;
 }
 
@@ -43,21 +43,21 @@
     Settings::DEFAULT_SHUTDOWN_MS
 }
 
-/// Limits on what callers may send and how long they may take.
+/// Limits on sizes, connections and times of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSettings {
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: u64,
-    /// Connections open at once.
+    /// Maximum number of open connections from callers.
     pub max_connections: u32,
-    /// Time to send a request, head and body, in ms.
+    /// Time within which a caller must have sent a request, head and body, in ms.
     pub read_timeout_ms: u64,
-    /// Time for a caller to take a piece of an answer, in ms.
+    /// Time within which a caller must accept each piece of an answer, in ms.
     pub write_timeout_ms: u64,
-    /// Silence after which a target is tried over a new connection, in ms.
+    /// Time without data from a target after which it is probed over a new connection, in ms.
     pub target_silence_ms: u64,
 }
 
@@ -74,38 +74,38 @@
     }
 }
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Readable text, one line per entry.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Least severity that is logged.
+/// The lowest severity that is logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Failures.
+    /// Failures only.
     Error,
-    /// Failures and what needs attention.
+    /// Also conditions that need attention.
     Warn,
-    /// Decisions too.
+    /// Also decisions.
     #[default]
     Info,
-    /// Everything.
+    /// All log lines.
     Debug,
 }
 
-/// Logs go to standard output.
+/// Settings of the log, which is written to standard output.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Least severity.
+    /// Lowest severity that is written.
     pub level: LogLevel,
 }
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things, each with a type of its own so that they can't be mixed.
+//! Identifiers, each kind with a type of its own so that they can't be confused.
 
 use {
     serde::{Deserialize, Serialize},
@@ -6,25 +6,25 @@
     thiserror::Error,
 };
 
-/// A text that isn't an identifier of the expected form.
+/// The error for a string that is not a valid identifier of the expected kind.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{text:?} is not a valid {what}: write {expected}")]
 pub struct BadId {
-    /// The kind of identifier that was expected.
+    /// Expected kind of identifier.
     pub what: &'static str,
-    /// The text as received, cut to a length fit for a log line.
+    /// The string as received, truncated for display.
     pub text: String,
-    /// The form that is accepted.
+    /// Description of the accepted form.
     pub expected: &'static str,
 }
 
-/// Longest part of a refused text that is kept for the message.
-const SHOWN_CHARS: usize = 40;
+/// Maximum length of the quoted string in a [`BadId`], in characters.
+const MAX_SHOWN_CHARS: usize = 40;
 
 fn bad_id(what: &'static str, text: &str, expected: &'static str) -> BadId {
     BadId {
         what,
-        text: text.chars().take(SHOWN_CHARS).collect(),
+        text: text.chars().take(MAX_SHOWN_CHARS).collect(),
         expected,
     }
 }
@@ -37,12 +37,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Stores a copy of `text`.
+            /// Creates a name with a copy of `text`; any string is accepted.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
 
-            /// The name as text.
+            /// Returns the name as a string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -63,43 +63,43 @@
 }
 
 name_type!(
-    /// Name of a client account.
+    /// The name of a client account.
     AccountName
 );
 name_type!(
-    /// Name of a caller within a client account, such as one application of it.
+    /// The name of a caller within a client account, such as one of its applications.
     CallerName
 );
 name_type!(
-    /// Name of a target: a model engine or a plain service.
+    /// The name of a target: a model engine or a plain service.
     TargetName
 );
 name_type!(
-    /// Name of an instance on which a daemon runs.
+    /// The name of an instance on which a daemon runs.
     InstanceName
 );
 name_type!(
-    /// Name of a failure domain.
+    /// The name of a failure domain, whose instances and targets may fail together.
     FailureDomain
 );
 name_type!(
-    /// Name of a model as callers ask for it.
+    /// The name of a model as callers request it.
     ModelName
 );
 name_type!(
-    /// Name of an adapter of a model.
+    /// The name of an adapter of a model.
     AdapterName
 );
 name_type!(
-    /// Name of a model provider, such as `old` or `new`.
+    /// The name of a model provider, such as `old` or `new`.
     ProviderName
 );
 name_type!(
-    /// Name of a plain service.
+    /// The name of a plain service as callers request it.
     ServiceName
 );
 name_type!(
-    /// Key of a configuration record, unique in the platform's service.
+    /// The key of a configuration record, unique in the platform's configuration service.
     RecordKey
 );
 
@@ -153,7 +153,7 @@
     };
 }
 
-/// Reads a 128-bit number from 32 hexadecimal digits or from sixteen bytes, most significant first.
+/// Decodes a 128-bit number from 32 hexadecimal digits or from sixteen bytes in big-endian order.
 struct HexOrBytes(&'static str);
 
 impl serde::de::Visitor<'_> for HexOrBytes {
@@ -178,22 +178,22 @@
 }
 
 hex_type!(
-    /// One run of a daemon or of a target, drawn at random when it starts. It never comes back.
+    /// The id of one run of a daemon or target, drawn at random when it starts and never reused.
     Incarnation,
     "incarnation"
 );
 hex_type!(
-    /// One request of a caller, as admitted by a daemon.
+    /// The id of one request of a caller, as admitted by a daemon.
     RequestId,
     "request id"
 );
 hex_type!(
-    /// One attempt to run a request at a target. The target echoes it in each chunk.
+    /// The id of one attempt to run a request at a target. The target echoes it in each chunk.
     AttemptId,
     "attempt id"
 );
 
-/// Position in the platform's history of changes; it only grows.
+/// A position in the platform's history of changes. Revisions only grow.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -206,17 +206,17 @@
     }
 }
 
-/// Permission to run one non-repeatable request once. Only the daemon incarnation that it names
-/// may ever dispatch it.
+/// A permission to run one non-repeatable request once. Only the daemon incarnation that issued it
+/// may dispatch the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket {
-    /// The daemon incarnation that issued the ticket and keeps its outcome.
+    /// Daemon incarnation that issued the ticket and stores the outcome of its request.
     pub home: Incarnation,
-    /// Number of the ticket at its home, never used again.
+    /// Number of the ticket, unique within that incarnation and never reused.
     pub number: u64,
 }
 
-const TICKET_FORM: &str = "an incarnation and a number joined by '-', as the 428 answer gave it";
+const TICKET_FORM: &str = "an incarnation and a number joined by '-', as sent in the 428 response";
 
 impl fmt::Display for Ticket {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -1,9 +1,10 @@
-//! What the platform's configuration service and its list of instances say. Both can only be read.
+//! Responses of the platform's configuration service and its list of instances. Both are read-only.
 //!
-//! `GET /v1/records?after=REVISION&wait_ms=N` answers with [`RecordPage`], at once if there is
-//! news after the revision, else when there is some or the wait is over. `410` says that the
-//! history after that revision is gone: read again with `after=0`. `429` says that the read
-//! budget is used up. `GET /v1/instances` answers with [`InstanceList`], which lags.
+//! `GET /v1/records?after=REVISION&wait_ms=N` is a long poll that returns a [`RecordPage`]:
+//! immediately if there are changes after the revision, otherwise at the next change or after
+//! `wait_ms`. Status `410` means that the history after that revision has been discarded: read
+//! again with `after=0`. Status `429` means that the read budget is used up. `GET /v1/instances`
+//! returns an [`InstanceList`], which lags behind the actual state.
 
 use {
     crate::{
@@ -14,48 +15,48 @@
     std::net::SocketAddr,
 };
 
-/// Path of the records in the platform's service.
+/// Path of the records at the platform.
 pub const RECORDS_PATH: &str = "/v1/records";
-/// Path of the list of instances in the platform's service.
+/// Path of the list of instances at the platform.
 pub const INSTANCES_PATH: &str = "/v1/instances";
-/// Largest value of a record, in bytes.
+/// Maximum size of a record's value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_048_576;
 
-/// Records changed after the revision that was asked for.
+/// Records that changed after the requested revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordPage {
-    /// Revision of the service when it answered. Continue the watch from here, or from the last
-    /// record's revision when `more` is set.
+    /// Current revision of the service. The next read continues from here, or from the revision of
+    /// the last record if `more` is set.
     pub revision: Revision,
-    /// The records in order of their revisions, tombstones among them.
+    /// Records in the order of their revisions, including tombstones.
     pub records: Vec<RecordEnvelope>,
-    /// Whether the page was cut and another read is due at once.
+    /// Whether the page is incomplete and the next read is due immediately.
     #[serde(default)]
     pub more: bool,
 }
 
-/// Whether a listed process serves or is about to leave.
+/// The state of a listed daemon or target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// Serves.
+    /// Running.
     Live,
-    /// Is about to leave and must get no new work.
+    /// Shutting down; must not get new work.
     Leaving,
 }
 
 /// A daemon as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedDaemon {
-    /// The instance it runs on.
+    /// Instance that the daemon runs on.
     pub instance: InstanceName,
     /// Failure domain of the instance.
     pub failure_domain: FailureDomain,
-    /// Address for callers.
+    /// Address at which the daemon accepts requests from callers.
     pub caller_address: SocketAddr,
-    /// Address for other daemons.
+    /// Address at which the daemon accepts peer links.
     pub peer_address: SocketAddr,
-    /// Serving or leaving.
+    /// Whether the daemon is running or shutting down.
     pub state: ListedState,
 }
 
@@ -64,21 +65,21 @@
 pub struct ListedTarget {
     /// Name of the target, as in its record.
     pub target: TargetName,
-    /// The run of the target.
+    /// Current incarnation of the target.
     pub incarnation: Incarnation,
-    /// Where it takes requests.
+    /// Address at which the target accepts requests.
     pub address: SocketAddr,
-    /// Serving or leaving.
+    /// Whether the target is running or shutting down.
     pub state: ListedState,
 }
 
-/// The platform's lagging list of what is live and what is leaving.
+/// The platform's list of running daemons and targets, which lags behind the actual state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
-    /// Grows with each change of the list.
+    /// Version of the list; grows with each change.
     pub version: u64,
-    /// The daemons' instances.
+    /// Daemons that are running or shutting down.
     pub daemons: Vec<ListedDaemon>,
-    /// The targets.
+    /// Targets that are running or shutting down.
     pub targets: Vec<ListedTarget>,
 }
--- a/crates/wire/src/record/body.rs
+++ b/crates/wire/src/record/body.rs
@@ -2,7 +2,7 @@
     super::{AccountRecord, PolicyRecord, RouteRecord, TargetRecord, read::read_record},
     crate::conf::{
         ConfFault, FaultKind,
-        reader::{Faults, Place, parse_json},
+        reader::{Faults, Location, parse_json},
     },
     thiserror::Error,
 };
@@ -63,7 +63,7 @@
         detail: error.to_string(),
     })?;
     let mut faults = Faults::default();
-    let body = read_record(&Place::root(&node), &mut faults);
+    let body = read_record(&Location::root(&node), &mut faults);
     faults
         .into_result(body)
         .map_err(|faults| first_fault(&faults))
--- a/crates/wire/src/record/read.rs
+++ b/crates/wire/src/record/read.rs
@@ -15,7 +15,7 @@
     super::{NEWEST_SCHEMA, OLDEST_SCHEMA, RecordBody},
     crate::conf::{
         FaultKind,
-        reader::{Faults, ObjectReader, Place, choice, whole_u32},
+        reader::{Faults, Location, ObjectReader, choice, integer_u32},
     },
     std::ops::RangeInclusive,
 };
@@ -23,7 +23,7 @@
 /// Largest integer that a JSON tool with double-precision numbers represents exactly.
 const MAX_COUNT: u64 = (1 << 53) - 1;
 /// Range of a count that must not be zero.
-const COUNT: RangeInclusive<u64> = 1..=MAX_COUNT;
+const NONZERO_COUNT: RangeInclusive<u64> = 1..=MAX_COUNT;
 
 #[derive(Debug, Clone, Copy)]
 enum Kind {
@@ -42,11 +42,11 @@
 
 /// Reads `{ schema, kind, spec }`. With an unknown schema no other fault is reported, since its
 /// fields may have any meaning.
-pub(crate) fn read_record(place: &Place<'_>, faults: &mut Faults) -> Option<RecordBody> {
-    let mut object = ObjectReader::open(place, faults)?;
-    let schema = object.required("schema", "2", faults, whole_u32(0..=u32::MAX));
+pub(crate) fn read_record(location: &Location<'_>, faults: &mut Faults) -> Option<RecordBody> {
+    let mut object = ObjectReader::open(location, faults)?;
+    let schema = object.required("schema", "2", faults, integer_u32(0..=u32::MAX));
     if let Some(found) = schema.filter(|it| !(OLDEST_SCHEMA..=NEWEST_SCHEMA).contains(it)) {
-        faults.add(place, FaultKind::UnknownSchema { found });
+        faults.add(location, FaultKind::UnknownSchema { found });
         return None;
     }
     let kind = object.required("kind", "\"route\"", faults, |at, faults| {
@@ -55,21 +55,21 @@
     let body = object.required("spec", "{ … }", faults, |at, faults| {
         read_spec(at, schema?, kind?, faults)
     });
-    object.close(faults);
+    object.finish(faults);
     body
 }
 
 fn read_spec(
-    place: &Place<'_>,
+    location: &Location<'_>,
     schema: u32,
     kind: Kind,
     faults: &mut Faults,
 ) -> Option<RecordBody> {
     match kind {
-        Kind::Route if schema == 1 => read_route_v1(place, faults).map(RecordBody::Route),
-        Kind::Route => read_route_v2(place, faults).map(RecordBody::Route),
-        Kind::Account => read_account(place, faults).map(RecordBody::Account),
-        Kind::Target => read_target(place, faults).map(RecordBody::Target),
-        Kind::Policy => read_policy(place, faults).map(RecordBody::Policy),
+        Kind::Route if schema == 1 => read_route_v1(location, faults).map(RecordBody::Route),
+        Kind::Route => read_route_v2(location, faults).map(RecordBody::Route),
+        Kind::Account => read_account(location, faults).map(RecordBody::Account),
+        Kind::Target => read_target(location, faults).map(RecordBody::Target),
+        Kind::Policy => read_policy(location, faults).map(RecordBody::Policy),
     }
 }
--- a/crates/wire/src/record/read/policy.rs
+++ b/crates/wire/src/record/read/policy.rs
@@ -1,7 +1,9 @@
 use {
     crate::{
-        conf::reader::{Faults, ObjectReader, Place, number, positive, whole, whole_u32},
-        record::{PolicyRecord, read::COUNT},
+        conf::reader::{
+            Faults, Location, ObjectReader, integer, integer_u32, number, positive_number,
+        },
+        record::{PolicyRecord, read::NONZERO_COUNT},
     },
     std::ops::RangeInclusive,
 };
@@ -9,60 +11,60 @@
 /// Upper bound of a value in thousandths.
 const PER_MILLE: u32 = 1_000;
 /// Range of a time in a policy, in ms: up to one day.
-const TIME_MS: RangeInclusive<u64> = 1..=86_400_000;
+const TIME_RANGE_MS: RangeInclusive<u64> = 1..=86_400_000;
 
-pub(super) fn read_policy(place: &Place<'_>, faults: &mut Faults) -> Option<PolicyRecord> {
+pub(super) fn read_policy(location: &Location<'_>, faults: &mut Faults) -> Option<PolicyRecord> {
     let defaults = PolicyRecord::default();
-    let mut object = ObjectReader::open(place, faults)?;
-    let long_weight = object.or(
+    let mut object = ObjectReader::open(location, faults)?;
+    let long_weight = object.with_default(
         "long_first_token_weight",
         defaults.long_first_token_weight,
         faults,
         number(0.0..=1.0),
     );
-    let short_weight = object.or(
+    let short_weight = object.with_default(
         "short_slowdown_weight",
         defaults.short_slowdown_weight,
         faults,
         number(0.0..=1.0),
     );
-    let long_prompt_tokens = object.or(
+    let long_prompt_tokens = object.with_default(
         "long_prompt_tokens",
         defaults.long_prompt_tokens,
         faults,
-        whole(COUNT),
+        integer(NONZERO_COUNT),
     );
-    let platform_reads_per_s = object.or(
+    let platform_reads_per_s = object.with_default(
         "platform_reads_per_s",
         defaults.platform_reads_per_s,
         faults,
-        positive,
+        positive_number,
     );
-    let retry_budget_per_mille = object.or(
+    let retry_budget_per_mille = object.with_default(
         "retry_budget_per_mille",
         defaults.retry_budget_per_mille,
         faults,
-        whole_u32(0..=PER_MILLE),
+        integer_u32(0..=PER_MILLE),
     );
-    let poison_targets = object.or(
+    let poison_targets = object.with_default(
         "poison_targets",
         defaults.poison_targets,
         faults,
-        whole_u32(1..=u32::MAX),
+        integer_u32(1..=u32::MAX),
     );
-    let entries_ttl_ms = object.or(
+    let entries_ttl_ms = object.with_default(
         "entries_ttl_ms",
         defaults.entries_ttl_ms,
         faults,
-        whole(TIME_MS),
+        integer(TIME_RANGE_MS),
     );
-    let max_deadline_ms = object.or(
+    let max_deadline_ms = object.with_default(
         "max_deadline_ms",
         defaults.max_deadline_ms,
         faults,
-        whole(TIME_MS),
+        integer(TIME_RANGE_MS),
     );
-    object.close(faults);
+    object.finish(faults);
     Some(PolicyRecord {
         long_first_token_weight: long_weight?,
         short_slowdown_weight: short_weight?,
--- a/crates/wire/src/record/read/route.rs
+++ b/crates/wire/src/record/read/route.rs
@@ -1,7 +1,9 @@
 use crate::{
     conf::{
         FaultKind,
-        reader::{Faults, ObjectReader, Place, choice, flag, list, name, plain_name, whole_u32},
+        reader::{
+            Faults, Location, ObjectReader, boolean, choice, integer_u32, list, name, url_safe_name,
+        },
     },
     ids::ProviderName,
     record::{ProviderShare, RouteRecord, RouteSubject},
@@ -10,21 +12,21 @@
 /// Sum of the shares of a route, in thousandths.
 const PER_MILLE: u32 = 1_000;
 /// Thousandths per hundredth.
-const PER_MILLE_IN_PERCENT: u32 = 10;
+const PER_MILLE_PER_PERCENT: u32 = 10;
 
 /// Reads a route in schema 1, which gives the share of the provider `new` in hundredths; the rest
 /// goes to `old`.
-pub(super) fn read_route_v1(place: &Place<'_>, faults: &mut Faults) -> Option<RouteRecord> {
-    let mut object = ObjectReader::open(place, faults)?;
+pub(super) fn read_route_v1(location: &Location<'_>, faults: &mut Faults) -> Option<RouteRecord> {
+    let mut object = ObjectReader::open(location, faults)?;
     let subject = object.required("subject", SUBJECT_EXAMPLE, faults, read_subject);
-    let accounts = object.or("accounts", Vec::new(), faults, list(plain_name));
-    let callers = object.or("callers", Vec::new(), faults, list(plain_name));
-    let new_percent = object.required("new_share_percent", "10", faults, whole_u32(0..=100));
-    let old_version = object.optional("old_version", faults, whole_u32(0..=u32::MAX));
-    let new_version = object.optional("new_version", faults, whole_u32(0..=u32::MAX));
-    object.close(faults);
+    let accounts = object.with_default("accounts", Vec::new(), faults, list(url_safe_name));
+    let callers = object.with_default("callers", Vec::new(), faults, list(url_safe_name));
+    let new_percent = object.required("new_share_percent", "10", faults, integer_u32(0..=100));
+    let old_version = object.optional("old_version", faults, integer_u32(0..=u32::MAX));
+    let new_version = object.optional("new_version", faults, integer_u32(0..=u32::MAX));
+    object.finish(faults);
 
-    let new_per_mille = new_percent? * PER_MILLE_IN_PERCENT;
+    let new_per_mille = new_percent? * PER_MILLE_PER_PERCENT;
     let share = |provider: &str, version, share_per_mille| ProviderShare {
         provider: ProviderName::new(provider),
         version,
@@ -42,13 +44,13 @@
 }
 
 /// Reads a route in schema 2, which lists any number of providers with their shares.
-pub(super) fn read_route_v2(place: &Place<'_>, faults: &mut Faults) -> Option<RouteRecord> {
-    let mut object = ObjectReader::open(place, faults)?;
+pub(super) fn read_route_v2(location: &Location<'_>, faults: &mut Faults) -> Option<RouteRecord> {
+    let mut object = ObjectReader::open(location, faults)?;
     let subject = object.required("subject", SUBJECT_EXAMPLE, faults, read_subject);
-    let accounts = object.or("accounts", Vec::new(), faults, list(plain_name));
-    let callers = object.or("callers", Vec::new(), faults, list(plain_name));
+    let accounts = object.with_default("accounts", Vec::new(), faults, list(url_safe_name));
+    let callers = object.with_default("callers", Vec::new(), faults, list(url_safe_name));
     let providers = object.required("providers", PROVIDERS_EXAMPLE, faults, read_providers);
-    object.close(faults);
+    object.finish(faults);
     Some(RouteRecord {
         subject: subject?,
         accounts: accounts?,
@@ -60,9 +62,9 @@
 const SUBJECT_EXAMPLE: &str = "{ \"type\": \"model\", \"model\": \"assistant\" }";
 const PROVIDERS_EXAMPLE: &str = "[{ \"provider\": \"old\", \"share_per_mille\": 1000 }]";
 
-fn read_providers(place: &Place<'_>, faults: &mut Faults) -> Option<Vec<ProviderShare>> {
+fn read_providers(location: &Location<'_>, faults: &mut Faults) -> Option<Vec<ProviderShare>> {
     let faults_before = faults.count();
-    let providers = list(read_provider)(place, faults)?;
+    let providers = list(read_provider)(location, faults)?;
     if faults.count() > faults_before {
         return None;
     }
@@ -71,19 +73,23 @@
         .map(|share| u64::from(share.share_per_mille))
         .sum();
     if total != u64::from(PER_MILLE) {
-        faults.add(place, FaultKind::Shares { total });
+        faults.add(location, FaultKind::ShareSum { total });
         return None;
     }
     Some(providers)
 }
 
-fn read_provider(place: &Place<'_>, faults: &mut Faults) -> Option<ProviderShare> {
-    let mut object = ObjectReader::open(place, faults)?;
+fn read_provider(location: &Location<'_>, faults: &mut Faults) -> Option<ProviderShare> {
+    let mut object = ObjectReader::open(location, faults)?;
     let provider = object.required("provider", "\"old\"", faults, name);
-    let version = object.optional("version", faults, whole_u32(0..=u32::MAX));
-    let share_per_mille =
-        object.required("share_per_mille", "1000", faults, whole_u32(0..=PER_MILLE));
-    object.close(faults);
+    let version = object.optional("version", faults, integer_u32(0..=u32::MAX));
+    let share_per_mille = object.required(
+        "share_per_mille",
+        "1000",
+        faults,
+        integer_u32(0..=PER_MILLE),
+    );
+    object.finish(faults);
     Some(ProviderShare {
         provider: provider?,
         version: version?,
@@ -99,13 +105,13 @@
 
 const SUBJECTS: [(&str, Subject); 2] = [("model", Subject::Model), ("service", Subject::Service)];
 
-fn read_subject(place: &Place<'_>, faults: &mut Faults) -> Option<RouteSubject> {
-    let mut object = ObjectReader::open(place, faults)?;
+fn read_subject(location: &Location<'_>, faults: &mut Faults) -> Option<RouteSubject> {
+    let mut object = ObjectReader::open(location, faults)?;
     let kind = object.required("type", "\"model\"", faults, |at, faults| {
         choice(at, &SUBJECTS, faults)
     });
     let Some(kind) = kind else {
-        object.close_untyped(faults);
+        object.finish_untyped(faults);
         return None;
     };
     let subject = match kind {
@@ -117,8 +123,8 @@
                 .map(|(model, adapter)| RouteSubject::Model { model, adapter })
         }
         Subject::Service => {
-            let service = object.required("service", "\"labels\"", faults, plain_name);
-            let idempotent = object.required("idempotent", "false", faults, flag);
+            let service = object.required("service", "\"labels\"", faults, url_safe_name);
+            let idempotent = object.required("idempotent", "false", faults, boolean);
             service
                 .zip(idempotent)
                 .map(|(service, idempotent)| RouteSubject::Service {
@@ -127,6 +133,6 @@
                 })
         }
     };
-    object.close(faults);
+    object.finish(faults);
     subject
 }
