--- a/crates/wire/src/caller/chunk.rs
+++ b/crates/wire/src/caller/chunk.rs
@@ -3,7 +3,7 @@
     serde::{Deserialize, Serialize},
 };
 
-/// Number of bytes that are estimated as one token, since callers send no token count.
+/// Number of bytes that are estimated as one token if the caller gives no token count.
 const BYTES_PER_TOKEN: u64 = 4;
 
 /// Estimates the number of tokens in a prompt of `bytes` bytes; at least one.
--- a/crates/wire/src/conf/reader/object.rs
+++ b/crates/wire/src/conf/reader/object.rs
@@ -109,8 +109,8 @@
         self.report_missing(&suggested, faults);
     }
 
-    /// Reports missing fields only. For an object whose `type` is faulty, since the set of known
-    /// fields depends on the type.
+    /// Reports missing fields only: for an object whose `type` is faulty, the set of known fields
+    /// can't be determined.
     pub fn finish_untyped(self, faults: &mut Faults) {
         self.report_missing(&[], faults);
     }
--- a/crates/wire/src/peer/news.rs
+++ b/crates/wire/src/peer/news.rs
@@ -121,10 +121,10 @@
     Gone,
 }
 
-/// The state of a target as observed directly by one of the daemons.
+/// The state of a target, as stated by a daemon that did not learn it from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetNews {
-    /// Target that was observed.
+    /// Name of the target.
     pub target: TargetName,
     /// Run of the target to which the state applies.
     pub incarnation: Incarnation,
--- a/crates/wire/src/target/kv.rs
+++ b/crates/wire/src/target/kv.rs
@@ -20,7 +20,7 @@
 pub struct CacheEvents {
     /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Events by sequence number. They arrive late and some may be missing.
+    /// The events, which arrive late and of which some may be missing.
     pub events: Vec<CacheEvent>,
 }
 
