--- a/crates/wire/src/record/read.rs
+++ b/crates/wire/src/record/read.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a record and reports every fault of it.
+//! Parses the value of a record and collects all its faults.
 
 mod account;
 mod policy;
@@ -15,15 +15,15 @@
     super::{NEWEST_SCHEMA, OLDEST_SCHEMA, RecordBody},
     crate::conf::{
         FaultKind,
-        reader::{Faults, ObjectReader, Place, choice, whole_u32},
+        reader::{Faults, Location, ObjectReader, choice, integer_u32},
     },
     std::ops::RangeInclusive,
 };
 
-/// Largest number that JSON tools keep exact.
+/// Largest integer that a JSON tool with double-precision numbers represents exactly.
 const MAX_COUNT: u64 = (1 << 53) - 1;
-/// Counts of things that there must be at least one of.
-const COUNT: RangeInclusive<u64> = 1..=MAX_COUNT;
+/// Range of a count that must not be zero.
+const NONZERO_COUNT: RangeInclusive<u64> = 1..=MAX_COUNT;
 
 #[derive(Debug, Clone, Copy)]
 enum Kind {
@@ -40,13 +40,13 @@
     ("policy", Kind::Policy),
 ];
 
-/// Reads `{ schema, kind, spec }`. An unknown schema is the only fault told, since its fields may
-/// have any meaning.
-pub(crate) fn read_record(place: &Place<'_>, faults: &mut Faults) -> Option<RecordBody> {
-    let mut object = ObjectReader::open(place, faults)?;
-    let schema = object.required("schema", "2", faults, whole_u32(0..=u32::MAX));
+/// Reads `{ schema, kind, spec }`. With an unknown schema no other fault is reported, since its
+/// fields may have any meaning.
+pub(crate) fn read_record(location: &Location<'_>, faults: &mut Faults) -> Option<RecordBody> {
+    let mut object = ObjectReader::open(location, faults)?;
+    let schema = object.required("schema", "2", faults, integer_u32(0..=u32::MAX));
     if let Some(found) = schema.filter(|it| !(OLDEST_SCHEMA..=NEWEST_SCHEMA).contains(it)) {
-        faults.add(place, FaultKind::UnknownSchema { found });
+        faults.add(location, FaultKind::UnknownSchema { found });
         return None;
     }
     let kind = object.required("kind", "\"route\"", faults, |at, faults| {
@@ -55,21 +55,21 @@
     let body = object.required("spec", "{ … }", faults, |at, faults| {
         read_spec(at, schema?, kind?, faults)
     });
-    object.close(faults);
+    object.finish(faults);
     body
 }
 
 fn read_spec(
-    place: &Place<'_>,
+    location: &Location<'_>,
     schema: u32,
     kind: Kind,
     faults: &mut Faults,
 ) -> Option<RecordBody> {
     match kind {
-        Kind::Route if schema == 1 => read_route_v1(place, faults).map(RecordBody::Route),
-        Kind::Route => read_route_v2(place, faults).map(RecordBody::Route),
-        Kind::Account => read_account(place, faults).map(RecordBody::Account),
-        Kind::Target => read_target(place, faults).map(RecordBody::Target),
-        Kind::Policy => read_policy(place, faults).map(RecordBody::Policy),
+        Kind::Route if schema == 1 => read_route_v1(location, faults).map(RecordBody::Route),
+        Kind::Route => read_route_v2(location, faults).map(RecordBody::Route),
+        Kind::Account => read_account(location, faults).map(RecordBody::Account),
+        Kind::Target => read_target(location, faults).map(RecordBody::Target),
+        Kind::Policy => read_policy(location, faults).map(RecordBody::Policy),
     }
 }
