--- a/crates/serving/src/engines/engine_load.rs
+++ b/crates/serving/src/engines/engine_load.rs
@@ -3,47 +3,48 @@
     whinlatch_core::MonoMs,
 };
 
-/// Time after the beginning of a pass in which events still belong to the end of the one before,
-/// in ms: those of one pass arrive within a few ms.
+/// Time after the start of a pass in which events still belong to the end of the previous pass, in ms:
+/// the events of one pass arrive within a few ms of each other.
 const SAME_PASS_MS: f64 = 15.0;
 
-/// Passes of which the fastest tells how slow an engine is: those that only took in a part that
-/// isn't known here yet are longer, and never all of them in a row.
+/// Number of passes whose fastest sets an engine's pace. A pass that reads a part which isn't known here
+/// yet is longer than predicted, but never all of them in a row are.
 const PACE_PASSES: usize = 4;
-/// How far a pass must be from what was predicted to change an engine's pace.
-const PACE_CHANGE: f64 = 1.25;
-/// Bounds of an engine's pace; beyond them, the prediction is wrong and not the engine slow.
+/// Minimum ratio between the new and the old pace, in either direction, at which the pace changes.
+const MIN_PACE_RATIO: f64 = 1.25;
+/// Lower and upper bound of an engine's pace; beyond them the prediction is wrong rather than the engine
+/// slow.
 const PACE_BOUNDS: (f64, f64) = (1.0, 12.0);
 
 /// A prompt, or a part of one, that an engine has yet to read.
 #[derive(Debug, Clone, Copy)]
-pub struct Part {
-    /// The prompt.
+pub struct UnreadPart {
+    /// The prompt that it belongs to.
     pub job: JobId,
-    /// Time that it still takes, in ms.
+    /// Remaining reading time at the engine's pace, in ms. Excludes what the running pass reads.
     pub left_ms: f64,
-    /// Time that each of its tokens takes, in ms.
+    /// Reading time per token at the engine's pace, in ms.
     pub token_ms: f64,
-    /// Whether this engine only helps to read it.
+    /// Whether this engine is a helper, not the engine that answers the prompt.
     pub is_helper: bool,
-    /// Whether it is read ahead of those for which this isn't so, the newest first: parts that
-    /// engines only help with, and those for which the engine that answers has set memory aside.
+    /// Whether it is read ahead of all parts without this flag, the newest first. Set for the parts of
+    /// helpers and for those for which the engine that answers has reserved memory.
     pub goes_first: bool,
-    /// When the prompt's first event is late.
+    /// Time from which the prompt's first event is late.
     pub late_at: MonoMs,
-    /// When the prompt's first event is expected: other engines may still read parts of it when this
-    /// one is through.
-    pub begins_at: MonoMs,
+    /// Expected time of the prompt's first event. Other engines may still read their parts when this
+    /// engine has finished its own.
+    pub first_event_at: MonoMs,
     /// Longest pause with which the prompt's stream is on time, in ms.
     pub pause_limit_ms: f64,
-    /// What is lost when the stream is late.
+    /// Value that is lost if the stream is late.
     pub value: f64,
-    /// Whether it is read in the pass that is running.
+    /// Whether the running pass reads the rest of it.
     pub in_pass: bool,
 }
 
-impl Part {
-    /// Reads it for as long as it takes, or as there is time.
+impl UnreadPart {
+    /// Reads the part for up to `spent_ms`, and subtracts the time taken from it.
     fn read(&mut self, spent_ms: &mut f64) {
         let read_ms = spent_ms.min(self.left_ms);
         self.left_ms -= read_ms;
@@ -53,97 +54,102 @@
 
 /// A stream that an engine writes.
 #[derive(Debug, Clone, Copy)]
-pub struct Writer {
-    /// The prompt.
+pub struct WritingStream {
+    /// The prompt that it answers.
     pub job: JobId,
-    /// Longest pause with which it is on time, in ms.
+    /// Longest pause with which the stream is on time, in ms.
     pub pause_limit_ms: f64,
-    /// What is lost when a pause is too long.
+    /// Value that is lost if a pause is too long.
     pub value: f64,
-    /// Whether that has come about.
+    /// Whether the stream is late already, so that further pauses cost nothing.
     pub is_late: bool,
 }
 
-/// What one engine is expected to be doing.
+/// Predicted state of one engine.
 ///
-/// An engine that writes works in passes: all prompts that wait when a pass begins are read in it,
-/// all streams get their next event at its end, and so does what was read. An engine that writes
-/// nothing reads one prompt after the other.
+/// An engine that writes streams works in passes: a pass reads the prompts that wait when it starts, up to
+/// its capacity in tokens, and at its end all streams get their next event and the prompts that were read
+/// their first. An engine that writes no stream reads one prompt after the other.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
-    /// Prompts that are to be read, in order of their coming.
-    pub parts: Vec<Part>,
-    /// Streams that it writes.
-    pub writers: Vec<Writer>,
-    /// Tokens of memory that its prompts take.
+    /// Parts to be read, in order of arrival. A part that the engine answers stays until its first event.
+    pub parts: Vec<UnreadPart>,
+    /// Streams that the engine writes.
+    pub streams: Vec<WritingStream>,
+    /// Memory that its prompts and reservations take, in tokens.
     pub memory_tokens: u64,
-    /// How many times slower than published it is, from what was seen.
+    /// Observed or reported slowdown against the published speed; 1 is the published speed.
     pub pace: f64,
-    /// Prompts that it helps to read, or has helped with and that aren't over.
+    /// Number of unfinished prompts that it reads or has read a part of as a helper.
     pub helping: usize,
-    /// How many of the prompts that it was to answer it failed.
+    /// Share of the prompts that it was to answer and failed.
     pub failures: FailureShare,
-    ratios: Vec<f64>,
-    at_ms: f64,
-    pass_began_ms: f64,
-    event_ms: f64,
-    pass_ends_ms: Option<f64>,
+    /// Actual against predicted length of the passes since the pace was last evaluated.
+    pass_ratios: Vec<f64>,
+    /// Time up to which the state was advanced, in ms.
+    advanced_to_ms: f64,
+    pass_start_ms: f64,
+    /// Time of the last event that ended a pass, in ms.
+    last_event_ms: f64,
+    /// Predicted end of the running pass, in ms; `None` if no pass is running.
+    pass_end_ms: Option<f64>,
 }
 
 impl EngineLoad {
-    /// An engine that is idle.
+    /// Returns an idle engine at the published speed.
     pub fn new(now: MonoMs) -> Self {
         Self {
             pace: 1.0,
-            at_ms: now.0 as f64,
+            advanced_to_ms: now.0 as f64,
             ..Self::default()
         }
     }
 
-    /// Lets time go on.
+    /// Advances the prediction to `now`.
     pub fn advance(&mut self, now: MonoMs, spec: &EngineSpec) {
         let now_ms = now.0 as f64;
         loop {
-            if let Some(ends_ms) = self.pass_ends_ms {
-                if ends_ms > now_ms {
+            if let Some(end_ms) = self.pass_end_ms {
+                if end_ms > now_ms {
                     break;
                 }
-                self.end_pass(ends_ms);
+                self.end_pass(end_ms);
             }
-            if self.writers.is_empty() {
-                self.read_on(now_ms);
+            if self.streams.is_empty() {
+                self.read_in_sequence(now_ms);
                 break;
             }
             self.begin_pass(spec);
         }
-        self.at_ms = self.at_ms.max(now_ms);
+        self.advanced_to_ms = self.advanced_to_ms.max(now_ms);
     }
 
-    /// An event of one of its streams came: a pass has just ended. Returns whether the engine's
-    /// pace changed by that.
+    /// Records an event of one of the engine's streams, which shows that a pass has just ended. Returns
+    /// whether this changed the engine's pace.
     pub fn event_seen(&mut self, now: MonoMs, spec: &EngineSpec) -> bool {
         let now_ms = now.0 as f64;
-        if self.pass_ends_ms.is_some() && now_ms - self.pass_began_ms < SAME_PASS_MS {
+        if self.pass_end_ms.is_some() && now_ms - self.pass_start_ms < SAME_PASS_MS {
             return false;
         }
         let mut is_changed = false;
-        if let Some(ends_ms) = self.pass_ends_ms {
-            is_changed = self.note_pass(now_ms - self.event_ms, ends_ms - self.pass_began_ms);
+        if let Some(end_ms) = self.pass_end_ms {
+            is_changed = self.record_pass(now_ms - self.last_event_ms, end_ms - self.pass_start_ms);
             self.end_pass(now_ms);
         }
-        self.at_ms = now_ms;
-        self.event_ms = now_ms;
-        if !self.writers.is_empty() {
+        self.advanced_to_ms = now_ms;
+        self.last_event_ms = now_ms;
+        if !self.streams.is_empty() {
             self.begin_pass(spec);
         }
         is_changed
     }
 
-    /// Sets the pace. Returns whether that changes it much.
+    /// Sets the pace, within `PACE_BOUNDS`, and rescales unread parts. Returns false and keeps the old
+    /// pace if the two differ by less than `MIN_PACE_RATIO`.
     pub fn set_pace(&mut self, pace: f64) -> bool {
         let pace = pace.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
         let ratio = pace / self.pace;
-        if (1.0 / PACE_CHANGE..PACE_CHANGE).contains(&ratio) {
+        if (1.0 / MIN_PACE_RATIO..MIN_PACE_RATIO).contains(&ratio) {
             return false;
         }
         for part in &mut self.parts {
@@ -154,52 +160,53 @@
         true
     }
 
-    /// Compares the time between two events with the pass that was predicted.
-    fn note_pass(&mut self, seen_ms: f64, predicted_ms: f64) -> bool {
-        self.ratios.push(seen_ms / predicted_ms.max(1.0));
-        if self.ratios.len() < PACE_PASSES {
+    /// Compares the time between two events with the predicted length of the pass. Returns whether the pace
+    /// changed.
+    fn record_pass(&mut self, observed_ms: f64, predicted_ms: f64) -> bool {
+        self.pass_ratios.push(observed_ms / predicted_ms.max(1.0));
+        if self.pass_ratios.len() < PACE_PASSES {
             return false;
         }
-        let fastest = self.ratios.drain(..).fold(f64::INFINITY, f64::min);
+        let fastest = self.pass_ratios.drain(..).fold(f64::INFINITY, f64::min);
         self.set_pace(self.pace * fastest)
     }
 
     fn end_pass(&mut self, at_ms: f64) {
-        let length_ms = at_ms - self.pass_began_ms;
-        for writer in &mut self.writers {
-            writer.is_late |= length_ms > writer.pause_limit_ms;
+        let length_ms = at_ms - self.pass_start_ms;
+        for stream in &mut self.streams {
+            stream.is_late |= length_ms > stream.pause_limit_ms;
         }
-        // The prompt that the engine answers stays until its first event is told of: it has a slot.
+        // A prompt that the engine answers occupies a slot until its first event is reported.
         self.parts.retain(|part| !part.in_pass || !part.is_helper);
         for part in &mut self.parts {
             part.in_pass = false;
         }
-        self.pass_ends_ms = None;
-        self.at_ms = at_ms;
+        self.pass_end_ms = None;
+        self.advanced_to_ms = at_ms;
     }
 
     fn begin_pass(&mut self, spec: &EngineSpec) {
-        let mut room_tokens = spec.pass_read_tokens() as f64;
+        let mut capacity_tokens = spec.pass_read_tokens() as f64;
         let mut length_ms = self.base_ms(spec);
         for goes_first in [true, false] {
             for part in &mut self.parts {
-                if part.goes_first == goes_first && part.left_ms > 0.0 && room_tokens > 0.0 {
-                    let read_ms = part.left_ms.min(room_tokens * part.token_ms);
-                    room_tokens -= read_ms / part.token_ms;
+                if part.goes_first == goes_first && part.left_ms > 0.0 && capacity_tokens > 0.0 {
+                    let read_ms = part.left_ms.min(capacity_tokens * part.token_ms);
+                    capacity_tokens -= read_ms / part.token_ms;
                     length_ms += read_ms;
                     part.left_ms -= read_ms;
                     part.in_pass = part.left_ms <= 0.0;
                 }
             }
         }
-        self.pass_began_ms = self.at_ms;
-        self.pass_ends_ms = Some(self.at_ms + length_ms);
+        self.pass_start_ms = self.advanced_to_ms;
+        self.pass_end_ms = Some(self.advanced_to_ms + length_ms);
     }
 
-    fn read_on(&mut self, now_ms: f64) {
-        let mut spent_ms = (now_ms - self.at_ms).max(0.0);
-        let first = self.parts.iter_mut().rev().filter(|part| part.goes_first);
-        for part in first {
+    fn read_in_sequence(&mut self, now_ms: f64) {
+        let mut spent_ms = (now_ms - self.advanced_to_ms).max(0.0);
+        let prioritized = self.parts.iter_mut().rev().filter(|part| part.goes_first);
+        for part in prioritized {
             part.read(&mut spent_ms);
         }
         let others = self.parts.iter_mut().filter(|part| !part.goes_first);
@@ -210,25 +217,25 @@
             .retain(|part| part.left_ms > 0.0 || !part.is_helper);
     }
 
-    /// Time of a pass in which nothing is read, in ms.
+    /// Returns the length of a pass in which nothing is read, in ms.
     pub fn base_ms(&self, spec: &EngineSpec) -> f64 {
-        spec.pass_ms(self.writers.len(), 0) * self.pace
+        spec.pass_ms(self.streams.len(), 0) * self.pace
     }
 
-    /// Tokens that wait to be read, and the time that this takes in ms.
+    /// Returns the number of waiting tokens and the time to read them, in ms.
     pub fn waiting_tokens(&self) -> (f64, f64) {
         self.waiting().fold((0.0, 0.0), |(tokens, ms), part| {
             (tokens + part.left_ms / part.token_ms, ms + part.left_ms)
         })
     }
 
-    /// Time until the pass that is running ends, in ms.
+    /// Returns the time until the running pass ends, in ms; 0 if no pass is running.
     pub fn pass_left_ms(&self, now: MonoMs) -> f64 {
-        self.pass_ends_ms
-            .map_or(0.0, |ends_ms| (ends_ms - now.0 as f64).max(0.0))
+        self.pass_end_ms
+            .map_or(0.0, |end_ms| (end_ms - now.0 as f64).max(0.0))
     }
 
-    /// Reading that is ahead of a part that comes now, in ms. The newest of those that go first is
+    /// Returns the reading time ahead of a part that arrives now, in ms. The newest part with `goes_first` is
     /// read before all others.
     pub fn queue_ms(&self, goes_first: bool) -> f64 {
         if goes_first {
@@ -237,16 +244,16 @@
         self.total_ms()
     }
 
-    /// Reading that is still ahead of the end of one of its parts, in ms.
-    pub fn ends_in_ms(&self, place: usize) -> f64 {
-        let part = &self.parts[place];
+    /// Returns the reading time until one of the parts has been read, in ms, itself included.
+    pub fn ends_in_ms(&self, index: usize) -> f64 {
+        let part = &self.parts[index];
         let is_ahead = |other: usize| {
             let goes_first = self.parts[other].goes_first;
             match (part.goes_first, goes_first) {
-                (true, true) => other >= place,
+                (true, true) => other >= index,
                 (true, false) => false,
                 (false, true) => true,
-                (false, false) => other <= place,
+                (false, false) => other <= index,
             }
         };
         (0..self.parts.len())
@@ -255,38 +262,37 @@
             .sum()
     }
 
-    /// All reading that no pass has begun, in ms.
+    /// Returns the time to read everything that no pass has started, in ms.
     pub fn total_ms(&self) -> f64 {
         self.parts.iter().map(|part| part.left_ms).sum()
     }
 
-    /// Parts that no pass has begun.
-    pub fn waiting(&self) -> impl Iterator<Item = &Part> {
+    /// Returns the parts of which something is left that no pass has started to read.
+    pub fn waiting(&self) -> impl Iterator<Item = &UnreadPart> {
         self.parts.iter().filter(|part| part.left_ms > 0.0)
     }
 
-    /// Notes that a prompt's first event came; its engine writes from now on.
-    pub fn begins(&mut self, writer: Writer) {
-        self.parts.retain(|part| part.job != writer.job);
-        self.writers.push(writer);
+    /// Starts writing the stream of a prompt whose first event came; all of the prompt has been read.
+    pub fn start_stream(&mut self, stream: WritingStream) {
+        self.parts.retain(|part| part.job != stream.job);
+        self.streams.push(stream);
     }
 
-    /// Reading of a prompt that is still to be done here, in ms of an engine that is as fast as
-    /// published.
+    /// Returns the time to read what is left of a prompt here, in ms at the published speed.
     pub fn unread_ms(&self, job: JobId) -> f64 {
         let parts = self.parts.iter().filter(|part| part.job == job);
         parts.map(|part| part.left_ms / self.pace).sum()
     }
 
-    /// Drops all that it does for a prompt.
+    /// Removes the parts and the stream of a prompt.
     pub fn drop_job(&mut self, job: JobId) {
         self.parts.retain(|part| part.job != job);
-        self.writers.retain(|writer| writer.job != job);
+        self.streams.retain(|stream| stream.job != job);
     }
 
-    /// Prompts that it reads or writes as the engine that answers.
+    /// Returns the number of slots in use: prompts that the engine answers, read or written.
     pub fn running(&self) -> usize {
         let reading = self.parts.iter().filter(|part| !part.is_helper).count();
-        reading + self.writers.len()
+        reading + self.streams.len()
     }
 }
--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -1,5 +1,5 @@
 use {
-    super::{EngineLoad, Part, WorkRate, Writer},
+    super::{EngineLoad, UnreadPart, WorkRate, WritingStream},
     crate::{
         catalog::EngineSpec,
         fleet::{EngineGroup, JobId, Placed},
@@ -10,24 +10,24 @@
     whinlatch_core::MonoMs,
 };
 
-/// Longest time for which a prompt is counted whose end nobody told, in ms: over the longest
-/// deadline, so that only what was lost is dropped.
-const JOB_LIFE_MS: u64 = 30_000;
+/// Time after which a prompt is evicted whose end was never reported, in ms: over the longest deadline, so
+/// that only prompts whose report was lost are evicted.
+const JOB_TTL_MS: u64 = 30_000;
 
-/// A prompt at work somewhere in the fleet.
+/// A prompt that some instance of the fleet has sent to engines and that isn't over.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// What was told of it.
+    /// The prompt and its engines, as chosen here or reported by a peer.
     pub placed: Placed,
-    /// The engines among which it was placed.
+    /// Group of the engines.
     pub group: EngineGroup,
-    /// When it was sent.
+    /// When the prompt was recorded here.
     pub sent_at: MonoMs,
-    /// Whether its first event came.
+    /// Whether the first event was reported.
     pub has_begun: bool,
 }
 
-/// The engines and the prompts at work on them, of this instance and its peers.
+/// Predicted load of the engines, and the prompts of this instance and its peers in flight on them.
 #[derive(Debug, Default)]
 pub struct EngineLoads {
     engines: HashMap<TargetId, EngineLoad>,
@@ -36,7 +36,7 @@
 }
 
 impl EngineLoads {
-    /// An engine brought to `now`.
+    /// Returns an engine advanced to `now`, idle if it wasn't known.
     pub fn engine(&mut self, now: MonoMs, spec: &EngineSpec, id: &TargetId) -> &mut EngineLoad {
         let engine = self
             .engines
@@ -46,29 +46,32 @@
         engine
     }
 
-    /// Brings engines to `now`.
+    /// Advances engines to `now`.
     pub fn advance(&mut self, now: MonoMs, spec: &EngineSpec, ids: &[TargetId]) {
         for id in ids {
             self.engine(now, spec, id);
         }
     }
 
-    /// An engine as it was brought up to date last.
+    /// Returns an engine in the state to which it was last advanced.
     pub fn get(&self, id: &str) -> Option<&EngineLoad> {
         self.engines.get(id)
     }
 
-    /// Share of the time of a group's engines that was given reading of late.
+    /// Returns the share of the time of a group's engines that recently assigned reading takes.
     pub fn used(&mut self, now: MonoMs, group: EngineGroup, engines: usize) -> f64 {
-        self.work.entry(group).or_default().used(now, engines)
+        self.work
+            .entry(group)
+            .or_default()
+            .utilization(now, engines)
     }
 
-    /// A prompt at work.
+    /// Returns a prompt that isn't over.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// Notes a prompt that was sent to engines of a group.
+    /// Adds a prompt that was sent to engines of a group. Has no effect if it is known.
     pub fn placed(&mut self, now: MonoMs, spec: &EngineSpec, group: EngineGroup, placed: Placed) {
         if self.jobs.contains_key(&placed.job) {
             return;
@@ -80,23 +83,23 @@
         let part_tokens = placed.prompt_tokens.max(1) as f64 / degree as f64;
         let slack_ms = u64::try_from(placed.slack_ms).unwrap_or(0);
         let value = value_of(placed.prompt_tokens);
-        for (place, id) in placed.engines.iter().enumerate() {
+        for (index, id) in placed.engines.iter().enumerate() {
             let engine = self.engine(now, spec, id);
-            let is_helper = place > 0;
-            engine.parts.push(Part {
+            let is_helper = index > 0;
+            engine.parts.push(UnreadPart {
                 job: placed.job,
                 left_ms: part_ms * engine.pace,
                 token_ms: part_ms * engine.pace / part_tokens,
                 is_helper,
                 goes_first: is_helper || placed.goes_first,
                 late_at: now + slack_ms,
-                begins_at: now + u64::from(placed.first_event_ms),
+                first_event_at: now + u64::from(placed.first_event_ms),
                 pause_limit_ms: f64::from(placed.pause_limit_ms),
                 value,
                 in_pass: false,
             });
             engine.helping += usize::from(is_helper);
-            engine.memory_tokens += memory_tokens(&placed, place);
+            engine.memory_tokens += memory_tokens(&placed, index);
         }
         let job = Job {
             placed,
@@ -107,7 +110,7 @@
         self.jobs.insert(job.placed.job, job);
     }
 
-    /// Notes the first event of a prompt: all of it is read, and its engine writes.
+    /// Records the first event of a prompt: all of it has been read, and its engine writes the stream.
     pub fn begun(&mut self, now: MonoMs, spec: &EngineSpec, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -116,16 +119,16 @@
             return;
         }
         let placed = job.placed.clone();
-        let late = now.since(job.sent_at) > u64::try_from(placed.slack_ms).unwrap_or(0);
+        let is_late = now.since(job.sent_at) > u64::try_from(placed.slack_ms).unwrap_or(0);
         let mut engines = placed.engines.iter();
         if let Some(first) = engines.next() {
             let engine = self.engine(now, spec, first);
-            engine.failures.note(now, false);
-            engine.begins(Writer {
+            engine.failures.record(now, false);
+            engine.start_stream(WritingStream {
                 job: id,
                 pause_limit_ms: f64::from(placed.pause_limit_ms),
                 value: value_of(placed.prompt_tokens),
-                is_late: late,
+                is_late,
             });
         }
         for helper in engines {
@@ -133,38 +136,38 @@
         }
     }
 
-    /// Notes that the engine that was to answer a prompt failed it.
+    /// Records that the engine that was to answer a prompt failed it.
     pub fn failed(&mut self, now: MonoMs, id: JobId) {
         let engine = self
             .jobs
             .get(&id)
             .and_then(|job| job.placed.engines.first());
         if let Some(engine) = engine.and_then(|id| self.engines.get_mut(id)) {
-            engine.failures.note(now, true);
+            engine.failures.record(now, true);
         }
     }
 
-    /// Notes an event of a stream of an engine. Returns the engine's pace if that changed it.
+    /// Records an event of one of an engine's streams. Returns the engine's pace if this changed it.
     pub fn event_seen(&mut self, now: MonoMs, spec: &EngineSpec, engine: &TargetId) -> Option<f64> {
         let engine = self.engines.get_mut(engine)?;
         engine.event_seen(now, spec).then_some(engine.pace)
     }
 
-    /// Notes the pace of an engine that it reported or a peer has seen. Returns whether that changes
-    /// much.
+    /// Applies an engine's pace, as reported by the engine or observed by a peer. Returns whether it differs
+    /// enough from the known pace to replace it.
     pub fn paced(&mut self, now: MonoMs, spec: &EngineSpec, engine: &TargetId, pace: f64) -> bool {
         self.engine(now, spec, engine).set_pace(pace)
     }
 
-    /// How many times slower than published an engine is taken to be.
+    /// Returns an engine's slowdown against its published speed; 1 if nothing is known.
     pub fn pace_of(&self, engine: &str) -> f64 {
         self.engines.get(engine).map_or(1.0, |engine| engine.pace)
     }
 
-    /// Notes that a prompt is over. What no engine has read of it doesn't count as given to them.
+    /// Removes a prompt that is over, and subtracts what was never read of it from the assigned reading.
     ///
-    /// Guards against prompts that engines don't take, or whose callers leave: each attempt at a long
-    /// one counted as seconds of the engines' time, so that the next was refused as too much.
+    /// Guards against prompts that engines reject or whose callers leave: each attempt at a long prompt would
+    /// count as seconds of the engines' time, so that the next attempt is refused as too expensive.
     pub fn ended(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -175,48 +178,48 @@
             .map(|engine| engine.unread_ms(id))
             .sum();
         if let Some(work) = self.work.get_mut(&job.group) {
-            work.take_back(job.sent_at, unread_ms);
+            work.subtract(job.sent_at, unread_ms);
         }
-        for (place, engine) in job.placed.engines.iter().enumerate() {
+        for (index, engine) in job.placed.engines.iter().enumerate() {
             let Some(engine) = self.engines.get_mut(engine) else {
                 continue;
             };
             engine.drop_job(id);
-            engine.helping = engine.helping.saturating_sub(usize::from(place > 0));
-            let tokens = memory_tokens(&job.placed, place);
+            engine.helping = engine.helping.saturating_sub(usize::from(index > 0));
+            let tokens = memory_tokens(&job.placed, index);
             engine.memory_tokens = engine.memory_tokens.saturating_sub(tokens);
         }
     }
 
-    /// Drops the prompts of a run that is gone, but for those in `keep`.
+    /// Removes the prompts of a run of an instance, except those in `keep`.
     pub fn drop_run(&mut self, run: u64, keep: &[JobId]) {
-        let gone: Vec<JobId> = self
+        let removed: Vec<JobId> = self
             .jobs
             .keys()
             .filter(|id| id.run == run && !keep.contains(id))
             .copied()
             .collect();
-        for id in gone {
+        for id in removed {
             self.ended(id);
         }
     }
 
-    /// The prompts of one run, for a peer that has just linked.
+    /// Returns the prompts of one run of an instance, for a peer that has just linked.
     pub fn jobs_of(&self, run: u64) -> impl Iterator<Item = &Job> {
         self.jobs
             .values()
             .filter(move |job| job.placed.job.run == run)
     }
 
-    /// Drops prompts whose end was lost, and engines that aren't published any more.
+    /// Evicts prompts whose end was never reported, and unpublished engines that answer no prompt.
     pub fn forget_old(&mut self, now: MonoMs, is_published: impl Fn(&str) -> bool) {
-        let old: Vec<JobId> = self
+        let expired: Vec<JobId> = self
             .jobs
             .values()
-            .filter(|job| now.since(job.sent_at) > JOB_LIFE_MS)
+            .filter(|job| now.since(job.sent_at) > JOB_TTL_MS)
             .map(|job| job.placed.job)
             .collect();
-        for id in old {
+        for id in expired {
             self.ended(id);
         }
         self.engines
@@ -224,12 +227,12 @@
     }
 }
 
-/// Tokens of memory that a prompt takes at one of its engines.
-fn memory_tokens(placed: &Placed, place: usize) -> u64 {
+/// Returns the memory that a prompt takes at its engine `index`, in tokens; the engine that answers is 0.
+fn memory_tokens(placed: &Placed, index: usize) -> u64 {
     let whole = placed.prompt_tokens + u64::from(placed.answer_tokens);
     match placed.reserved {
-        None if place == 0 => whole,
-        Some(reserved) if (1..=reserved.engines).contains(&place) => reserved.tokens,
+        None if index == 0 => whole,
+        Some(reserved) if (1..=reserved.engines).contains(&index) => reserved.tokens,
         _ => 0,
     }
 }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -1,12 +1,13 @@
-//! Which engines read a prompt: the choice with the least predicted loss of answers on time.
+//! Choice of the engines that read a prompt, by the least predicted loss of value: answers on time, of the
+//! prompt itself and of others.
 
-mod answering;
+mod answer_loss;
 mod choose;
-mod division;
-mod pauses;
+mod engine_share;
+mod pause_loss;
+mod placement_context;
 mod prompt_shape;
-mod setting;
-mod share;
+mod prompt_split;
 mod value;
 
 pub use {
--- a/crates/serving/src/placement/choose.rs
+++ b/crates/serving/src/placement/choose.rs
@@ -1,68 +1,73 @@
 use {
-    super::{Candidate, PromptShape, division::Division, setting::Setting},
+    super::{
+        Candidate, PromptShape, placement_context::PlacementContext, prompt_split::PromptSplit,
+    },
     crate::{catalog::EngineSpec, mechanism::Mechanism},
     whinlatch_core::MonoMs,
 };
 
-/// Numbers of engines that are tried for a prompt. An engine takes sixteen entries at most, itself
-/// among them.
+/// Numbers of engines that are evaluated for a prompt. An engine accepts a list of at most sixteen engines,
+/// itself included.
 const DEGREES: [usize; 10] = [1, 2, 3, 4, 5, 6, 8, 11, 13, 16];
-/// Smallest part that is worth a helper, in ms: below it, what helping costs at each engine shows.
-const SMALLEST_PART_MS: f64 = 20.0;
-/// What a second of one engine's reading costs those that come later, while the engines are half
-/// used. It leaves a part of the engines' time to the prompts that come next: given all of it, a
-/// burst of long prompts makes half of its own late.
-const SECOND_LOSS: f64 = 1.6;
+/// Minimum reading time of a part that justifies a helper, in ms: below it, the overhead at each engine
+/// outweighs the gain.
+const MIN_PART_MS: f64 = 20.0;
+/// Loss of later prompts per second of one engine's reading, at a utilization of one half. It reserves a part
+/// of the engines' time for the prompts that come next: without it, half of the prompts in a burst of long
+/// ones are late.
+const LOSS_PER_READING_S: f64 = 1.6;
 
-/// What is lost to later prompts by reading a prompt now, with so much of the engines' time used.
-/// It grows as a queue's delay does.
+/// Returns the loss of later prompts by reading a prompt now, at a utilization of the engines from 0 to
+/// below 1. It grows like the delay of a queue.
 ///
-/// The load that this answers: prompts that take all engines for seconds, while the engines are
-/// nearly used up by others that are worth more for their time.
-pub fn work_loss(spec: &EngineSpec, prompt_tokens: u64, used: f64) -> f64 {
+/// It makes prompts that take all engines for seconds give way, on nearly saturated engines, to prompts that
+/// are worth more for their time.
+pub fn work_loss(spec: &EngineSpec, prompt_tokens: u64, utilization: f64) -> f64 {
     let work_s = spec.read_ms(prompt_tokens) / 1_000.0;
-    SECOND_LOSS * work_s * used / (1.0 - used)
+    LOSS_PER_READING_S * work_s * utilization / (1.0 - utilization)
 }
 
-/// Engines for a prompt.
+/// The engines chosen for a prompt, with the predicted outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// Places among the candidates: the engine that answers, then those that help.
+    /// Indices among the candidates: the engine that answers, then the helpers.
     pub engines: Vec<usize>,
-    /// Whether the part of the engine that answers is to have a place among those that go first.
+    /// Whether the part of the engine that answers is to be read ahead of others, by a reservation of memory.
     pub goes_first: bool,
-    /// When the first event is expected, in ms from now.
+    /// Expected time of the first event, in ms from the choice.
     pub first_event_ms: f64,
-    /// Predicted loss of answers on time, its own and those of others.
+    /// Predicted loss of value, of the prompt itself and of others, by which choices are compared.
     pub loss: f64,
-    /// What its answer is expected to be worth.
+    /// Expected value of the answer.
     pub gain: f64,
-    /// What others lose by it.
+    /// Predicted loss of other prompts and streams.
     pub harm: f64,
 }
 
 /// Chooses engines for a prompt; `None` if no engine can take it.
 ///
-/// The load that this answers: short streams with short pauses beside long prompts, in proportions
-/// that swap within seconds. For each number of engines, those are taken on which the prompt does
-/// least harm and is read soonest, and the number with the least predicted loss wins.
+/// For each number of engines, takes those on which the prompt costs others least and is read soonest, and
+/// returns the number with the least predicted loss. This handles a mix of short streams with short pause
+/// limits and long prompts whose proportions change within seconds.
 pub fn choose(
     now: MonoMs,
     spec: &EngineSpec,
     shape: &PromptShape,
     candidates: &[Candidate<'_>],
 ) -> Option<Choice> {
-    let setting = Setting { now, spec, shape };
+    let context = PlacementContext { now, spec, shape };
     let whole_ms = spec.read_ms(shape.prompt_tokens);
     DEGREES
         .iter()
         .copied()
         .filter(|degree| {
-            let least = shape.reserved.map_or(1, |reserved| reserved.engines + 1);
-            let is_worth_it = whole_ms / *degree as f64 >= SMALLEST_PART_MS
-                && shape.without.has(Mechanism::Helpers);
-            *degree >= least && *degree <= candidates.len() && (*degree == least || is_worth_it)
+            let min_degree = shape.reserved.map_or(1, |reserved| reserved.engines + 1);
+            let is_worth_it =
+                whole_ms / *degree as f64 >= MIN_PART_MS && shape.without.has(Mechanism::Helpers);
+            *degree >= min_degree
+                && *degree <= candidates.len()
+                && (*degree == min_degree || is_worth_it)
         })
-        .filter_map(|degree| Division::new(setting, candidates, degree).choice())
+        .filter_map(|degree| PromptSplit::new(context, candidates, degree).choose())
         .min_by(|left, right| left.loss.total_cmp(&right.loss))
 }
--- a/crates/serving/src/placement/prompt_shape.rs
+++ b/crates/serving/src/placement/prompt_shape.rs
@@ -1,36 +1,36 @@
 use crate::{engines::EngineLoad, fleet::Reserved, mechanism::Without};
 
-/// What is asked of the engines.
+/// Size and time limits of a prompt, and the state in which its engines are chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct PromptShape {
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that the answer is expected to have.
+    /// Expected length of the answer.
     pub answer_tokens: u32,
-    /// Time until its first event is late, in ms; 0 if it is late already.
+    /// Time until the first event is late, in ms; 0 if it is late already.
     pub slack_ms: f64,
-    /// Longest pause with which it is on time, in ms.
+    /// Longest pause with which the stream is on time, in ms.
     pub pause_limit_ms: f64,
-    /// Time after which nobody waits for its first event, in ms.
+    /// Time after which the caller no longer waits for the first event, in ms.
     pub patience_ms: f64,
-    /// Memory to be set aside for it.
+    /// Memory to be reserved at helpers; `None` if the prompt fits into the engine that answers.
     pub reserved: Option<Reserved>,
-    /// Share of the engines' time that was given reading of late.
+    /// Share of the engines' time that recently assigned reading takes, below 1.
     pub used: f64,
-    /// Whether little is known of what other instances place.
+    /// Whether this instance knows little of what other instances place.
     pub is_blind: bool,
-    /// Parts of the choice that are switched off.
+    /// Mechanisms that are switched off for this choice.
     pub without: Without,
 }
 
-/// An engine that may take part.
+/// An engine that may be chosen.
 #[derive(Debug)]
 pub struct Candidate<'a> {
-    /// How much this instance likes it, from 0 to 1; decides between equals.
+    /// Affinity of this instance to the engine, from 0 to 1; decides between equal engines.
     pub liking: f64,
-    /// Whether it has named a limit of requests. It reads only what it reads alone, since orders for memory at those
-    /// that read together would count towards the limit.
+    /// Whether the engine announced a limit of requests. It then takes only prompts that it reads alone,
+    /// since reservations of memory at engines that read together would count towards the limit.
     pub is_limited: bool,
-    /// What it is expected to be doing.
+    /// Predicted load.
     pub load: &'a EngineLoad,
 }
--- a/crates/serving/src/targets.rs
+++ b/crates/serving/src/targets.rs
@@ -1,7 +1,8 @@
-//! The targets that are published, and what becomes of them.
+//! Published targets: which of them take requests, what they announce in their answers, and how calls of
+//! plain services are spread over them.
 
-mod address_holders;
-mod calls;
+mod address_owners;
+mod call_loads;
 mod failure_share;
 mod notice_book;
 mod target_book;
@@ -10,8 +11,8 @@
 mod target_notice;
 
 pub use {
-    address_holders::{AddressHolders, Claim},
-    calls::CallLoads,
+    address_owners::{AddressClaim, AddressOwners},
+    call_loads::CallLoads,
     failure_share::FailureShare,
     notice_book::NoticeBook,
     target_book::{Displaced, TargetBook, TargetChange},
--- a/crates/serving/src/targets/notice_book.rs
+++ b/crates/serving/src/targets/notice_book.rs
@@ -5,32 +5,34 @@
     whinlatch_core::MonoMs,
 };
 
-/// Longest pause that a target may ask for, in ms; a longer one is cut down.
-const MOST_PAUSE_MS: u64 = 60_000;
+/// Maximum pause that a target may request, in ms; longer ones are capped.
+const MAX_PAUSE_MS: u64 = 60_000;
 
-/// Time for which a limit is taken to hold before the target is asked whether it does, in ms.
-const CONFIRMED_MS: u64 = 5_000;
-/// Time for which the word of a peer may come before the entry that it is about, in ms.
-const AHEAD_OF_ENTRY_MS: u64 = 10_000;
+/// Time after which a limit counts as unconfirmed unless the target or a peer has repeated it, in ms.
+const LIMIT_CONFIRMED_TTL_MS: u64 = 5_000;
+/// Time for which the limit of an unpublished target is kept, in ms: a peer's message may arrive before
+/// the entry that it refers to.
+const UNPUBLISHED_LIMIT_TTL_MS: u64 = 10_000;
 
-/// What the targets have said of themselves in their answers.
+/// Rate limits and pauses that targets announced in their answers.
 #[derive(Debug, Default)]
 pub struct NoticeBook {
-    limits: HashMap<TargetId, Heard>,
+    limits: HashMap<TargetId, KnownLimit>,
     paused_until: HashMap<TargetId, MonoMs>,
 }
 
-/// What was heard last of a target's limit, also that it names none any more.
+/// The latest limit of a target, or that it no longer has one.
 #[derive(Debug, Clone)]
-struct Heard {
+struct KnownLimit {
     limit: TargetLimit,
-    at: MonoMs,
+    received_at: MonoMs,
 }
 
 impl NoticeBook {
-    /// Takes in the limit that an answer to a request of `sent_at` names, if any. Returns what is news.
+    /// Applies the limit, or its absence, from an answer to a request sent at `sent_at`. Returns the new
+    /// limit if it differs from the known one.
     ///
-    /// An answer to a request that was sent before a limit was heard of doesn't lift it: answers on
+    /// An answer to a request that was sent before a limit was received doesn't lift that limit: answers on
     /// different connections overtake each other.
     pub fn answered(
         &mut self,
@@ -40,81 +42,90 @@
         notice: &TargetNotice,
     ) -> Option<TargetLimit> {
         let known = self.limits.get_mut(target);
-        let per_s = known.as_ref().and_then(|heard| heard.limit.per_s);
+        let per_s = known.as_ref().and_then(|known| known.limit.per_s);
         if per_s == notice.limit_per_s {
-            if let Some(heard) = known {
-                heard.at = now;
+            if let Some(known) = known {
+                known.received_at = now;
             }
             return None;
         }
-        let is_older = known.as_ref().is_some_and(|heard| sent_at <= heard.at);
+        let is_older = known
+            .as_ref()
+            .is_some_and(|known| sent_at <= known.received_at);
         if notice.limit_per_s.is_none() && is_older {
             return None;
         }
         let limit = TargetLimit {
             target: target.clone(),
             per_s: notice.limit_per_s,
-            version: known.map_or(0, |heard| heard.limit.version) + 1,
+            version: known.map_or(0, |known| known.limit.version) + 1,
         };
-        self.hear(now, limit.clone());
+        self.insert_limit(now, limit.clone());
         Some(limit)
     }
 
-    /// Takes in the limit of a target, which a peer tells. Returns whether that is news.
+    /// Applies a target's limit that a peer sent. Returns whether it replaced the known one.
     pub fn told_limit(&mut self, now: MonoMs, limit: &TargetLimit) -> bool {
         let known = self.limits.get(&limit.target);
-        let is_news = known.is_none_or(|heard| limit.is_after(&heard.limit));
+        let is_news = known.is_none_or(|known| limit.supersedes(&known.limit));
         if is_news {
-            self.hear(now, limit.clone());
+            self.insert_limit(now, limit.clone());
         }
         is_news
     }
 
-    fn hear(&mut self, now: MonoMs, limit: TargetLimit) {
-        let heard = Heard { limit, at: now };
-        self.limits.insert(heard.limit.target.clone(), heard);
+    fn insert_limit(&mut self, now: MonoMs, limit: TargetLimit) {
+        let known = KnownLimit {
+            limit,
+            received_at: now,
+        };
+        self.limits.insert(known.limit.target.clone(), known);
     }
 
-    /// What is known of the limits of all targets.
+    /// Returns the known limits of all targets, including lifted ones, for a peer that has just linked.
     pub fn limits(&self) -> Vec<TargetLimit> {
         let limits = self.limits.values();
-        limits.map(|heard| heard.limit.clone()).collect()
+        limits.map(|known| known.limit.clone()).collect()
     }
 
-    /// Requests a second that a target takes from all instances together, if it names a limit.
+    /// Returns a target's limit in requests per second for all instances together; `None` if it has none.
     pub fn limit_per_s(&self, target: &str) -> Option<f64> {
         self.limits.get(target)?.limit.per_s
     }
 
-    /// Whether an answer or a peer told of late that a target names a limit.
+    /// Returns whether a target has a limit that an answer or a peer reported within
+    /// `LIMIT_CONFIRMED_TTL_MS`.
     pub fn is_limit_confirmed(&self, now: MonoMs, target: &str) -> bool {
-        self.limits
-            .get(target)
-            .is_some_and(|heard| heard.limit.per_s.is_some() && now.since(heard.at) < CONFIRMED_MS)
+        self.limits.get(target).is_some_and(|known| {
+            known.limit.per_s.is_some() && now.since(known.received_at) < LIMIT_CONFIRMED_TTL_MS
+        })
     }
 
-    /// Notes that a target wants nothing from this instance for a while.
+    /// Records that a target asked this instance to pause for `for_ms`. Never shortens a running pause.
     pub fn pause(&mut self, now: MonoMs, target: &TargetId, for_ms: u64) {
-        let until = now + for_ms.min(MOST_PAUSE_MS);
+        let until = now + for_ms.min(MAX_PAUSE_MS);
         let paused_until = self.paused_until.entry(target.clone()).or_default();
         *paused_until = until.max(*paused_until);
     }
 
-    /// Until when a target wants nothing from this instance, if that isn't over.
+    /// Returns when the pause that a target asked of this instance ends; `None` if there is none.
     pub fn paused_until(&self, now: MonoMs, target: &str) -> Option<MonoMs> {
         let until = self.paused_until.get(target).copied();
         until.filter(|until| *until > now)
     }
 
-    /// The targets that have asked this instance for a pause of late.
+    /// Returns the targets that asked this instance to pause, including pauses that ended since the last
+    /// eviction.
     pub fn paused(&self) -> impl Iterator<Item = &TargetId> {
         self.paused_until.keys()
     }
 
-    /// Forgets targets that aren't published, unless they may be soon, and pauses that are over.
+    /// Evicts pauses that are over and the limits of unpublished targets, except recent ones, whose entry
+    /// may still arrive.
     pub fn forget_old(&mut self, now: MonoMs, is_published: impl Fn(&str) -> bool) {
-        self.limits
-            .retain(|id, heard| is_published(id) || now.since(heard.at) < AHEAD_OF_ENTRY_MS);
+        self.limits.retain(|id, known| {
+            is_published(id) || now.since(known.received_at) < UNPUBLISHED_LIMIT_TTL_MS
+        });
         self.paused_until.retain(|_, until| *until > now);
     }
 }
--- a/crates/serving/src/targets/target_book.rs
+++ b/crates/serving/src/targets/target_book.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AddressHolders, Claim, TargetEntry, TargetState},
+    super::{AddressClaim, AddressOwners, TargetEntry, TargetState},
     crate::names::{TargetId, TargetName},
     serde::{Deserialize, Serialize},
     std::{
@@ -9,73 +9,76 @@
     whinlatch_core::MonoMs,
 };
 
-/// Time after the store's return within which entries that lapsed meanwhile are written again, in
-/// ms. The operators promise about two seconds.
+/// Time after the store's return for which removals stay unconfirmed, in ms. Live targets whose entries
+/// expired during the outage publish them again within about two seconds, as the operators promise.
 const LAPSE_GRACE_MS: u64 = 2_300;
-/// Time for which the removal of an entry is remembered, in ms: well over the time for which any
-/// peer may still tell of the entry.
-const REMEMBER_REMOVED_MS: u64 = 120_000;
+/// Time for which removals are kept, in ms: well over the time for which any peer may still send the
+/// removed entry.
+const REMOVAL_RETENTION_MS: u64 = 120_000;
 
-/// What became of an entry, at a revision of the store. The higher revision wins, so news may
-/// arrive in any order and more than once.
+/// A change of an entry at a revision of the store. The higher revision wins, so changes may arrive in any
+/// order and more than once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetChange {
     /// Name under which the target is published.
     #[serde(rename = "id")]
     pub name: TargetName,
-    /// Revision of the store at which it happened.
+    /// Revision of the store at which the entry changed.
     pub revision: u64,
-    /// The entry, or `None` if there is none any more that names a target.
+    /// The new entry; `None` if it was removed or is unreadable.
     pub entry: Option<TargetEntry>,
-    /// Whether something was written there that names no target, rather than nothing.
+    /// Whether the store has a value under this name that can't be read as a target. Unlike a removal, this
+    /// takes effect immediately even after an outage of the store.
     #[serde(default)]
     pub is_unreadable: bool,
 }
 
-/// An entry whose target isn't at its address: another one answered there.
+/// Reports that another target answers at the address of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Displaced {
-    /// Name under which it is published.
+    /// Name under which the entry is published.
     pub name: TargetName,
-    /// Revision of the entry.
+    /// Revision of the entry. A later entry under the same name is not affected.
     pub revision: u64,
 }
 
 #[derive(Debug)]
-struct Held {
+struct KnownEntry {
     revision: u64,
     entry: Option<TargetEntry>,
     removed_at: MonoMs,
 }
 
-/// The published targets as far as this instance knows them.
+/// The published targets that this instance knows from the store and from peers.
 #[derive(Debug, Default)]
 pub struct TargetBook {
-    /// In the order of names: whoever chooses among equals chooses the same each time.
-    by_name: BTreeMap<TargetName, Held>,
+    /// Sorted by name, so that a choice among equal targets is deterministic. Includes recent removals.
+    by_name: BTreeMap<TargetName, KnownEntry>,
     /// Names of the runs that are published.
     runs: HashMap<TargetId, TargetName>,
-    doubtful: HashMap<TargetName, u64>,
-    displaced: HashMap<TargetName, u64>,
-    /// Runs that have said that they leave, and when this was heard.
+    /// Removals that may be due to an outage of the store, and their revisions.
+    unconfirmed: HashMap<TargetName, u64>,
+    /// Revisions of the newest entries whose address another target has taken over.
+    takeovers: HashMap<TargetName, u64>,
+    /// Runs that announced that they leave, and when this was received.
     leaving: HashMap<TargetId, MonoMs>,
-    holders: AddressHolders,
+    owners: AddressOwners,
     store_silent: bool,
     store_back_at: Option<MonoMs>,
-    read_once: bool,
+    is_initialized: bool,
     newest: u64,
-    /// Revision from which on no removal is missing here.
+    /// Revision since which all removals are known.
     complete_since: u64,
 }
 
 impl TargetBook {
-    /// The store didn't answer. What it removes until shortly after its return may have lapsed
-    /// only because targets couldn't reach it either.
+    /// Records that the store didn't answer. Entries that it removes until shortly after its return may have
+    /// expired only because targets couldn't reach it either.
     pub fn store_failed(&mut self) {
         self.store_silent = true;
     }
 
-    /// The store answers.
+    /// Records that the store answered.
     pub fn store_answers(&mut self, now: MonoMs) {
         if self.store_silent {
             self.store_silent = false;
@@ -83,50 +86,51 @@
         }
     }
 
-    /// Whether targets were read from the store or a peer.
+    /// Returns whether any targets were received from the store or a peer.
     pub fn is_known(&self) -> bool {
-        self.read_once
+        self.is_initialized
     }
 
-    /// Takes in a change that the store published. Returns it if it is news that takes effect.
+    /// Applies a change from the store. Returns it if it is new and takes effect.
     ///
-    /// Guards against entries that expire while the store is away: the targets live and serve, and
-    /// are written again soon after. Such a removal takes effect only if it still stands after
-    /// `LAPSE_GRACE_MS`.
+    /// Guards against entries that expire while the store is unavailable: their targets are alive and
+    /// publish them again soon after. Such a removal stays unconfirmed and takes effect only if the entry is
+    /// still missing after `LAPSE_GRACE_MS`.
     pub fn published(&mut self, now: MonoMs, change: TargetChange) -> Option<TargetChange> {
-        self.read_once = true;
-        let was_away = self.store_silent
+        self.is_initialized = true;
+        let was_store_lost = self.store_silent
             || self
                 .store_back_at
                 .is_some_and(|back| now.since(back) < LAPSE_GRACE_MS);
-        let leaving = self
+        let was_leaving = self
             .published_entry(&change.name)
             .is_none_or(|entry| entry.state == TargetState::Draining);
         let is_removal = change.entry.is_none() && !change.is_unreadable;
-        if is_removal && was_away && !leaving {
-            self.doubtful.insert(change.name.clone(), change.revision);
-            self.fit_holder_of(&change.name);
+        if is_removal && was_store_lost && !was_leaving {
+            self.unconfirmed
+                .insert(change.name.clone(), change.revision);
+            self.recompute_owner_for(&change.name);
             return None;
         }
         self.merge(now, &change).then_some(change)
     }
 
-    /// Takes in all entries that the store held at `revision`.
+    /// Applies all entries of the store at `revision`. Known entries that are missing from it are removed.
     pub fn published_all(&mut self, now: MonoMs, revision: u64, changes: Vec<TargetChange>) {
         let missing = self.missing_from(&changes, revision);
-        self.begin_at(revision);
+        self.mark_complete_at(revision);
         for change in changes.into_iter().chain(missing) {
             self.published(now, change);
         }
     }
 
-    /// Takes in what a peer tells. Returns whether it is news.
+    /// Applies a change from a peer, removals immediately. Returns whether it is new.
     pub fn told(&mut self, now: MonoMs, change: &TargetChange) -> bool {
-        self.read_once = true;
+        self.is_initialized = true;
         self.merge(now, change)
     }
 
-    /// Takes in all entries that a peer held at `revision`. Returns what is news.
+    /// Applies all entries that a peer had at `revision`. Returns the changes that are new.
     pub fn told_all(
         &mut self,
         now: MonoMs,
@@ -134,7 +138,7 @@
         changes: Vec<TargetChange>,
     ) -> Vec<TargetChange> {
         let missing = self.missing_from(&changes, revision);
-        self.begin_at(revision);
+        self.mark_complete_at(revision);
         changes
             .into_iter()
             .chain(missing)
@@ -142,68 +146,69 @@
             .collect()
     }
 
-    /// The removals that a list of all entries at `revision` tells by not naming them.
+    /// Returns removals of the known entries that a complete list at `revision` doesn't contain.
     fn missing_from(&self, listed: &[TargetChange], revision: u64) -> Vec<TargetChange> {
         let listed: HashSet<&TargetName> = listed.iter().map(|change| &change.name).collect();
         self.by_name
             .iter()
-            .filter(|(name, held)| {
-                held.entry.is_some() && held.revision <= revision && !listed.contains(name)
+            .filter(|(name, known)| {
+                known.entry.is_some() && known.revision <= revision && !listed.contains(name)
             })
             .map(|(name, _)| removal(name, revision))
             .collect()
     }
 
-    /// Notes that all entries at `revision` are known. Removals before the first such list are not.
-    fn begin_at(&mut self, revision: u64) {
-        if !self.read_once {
+    /// Records that all entries at `revision` are known. Removals before the first such list are not.
+    fn mark_complete_at(&mut self, revision: u64) {
+        if !self.is_initialized {
             self.complete_since = self.complete_since.max(revision);
         }
-        self.read_once = true;
+        self.is_initialized = true;
     }
 
     fn merge(&mut self, now: MonoMs, change: &TargetChange) -> bool {
-        let held = self.by_name.get(&change.name);
-        if held.is_some_and(|held| held.revision >= change.revision) {
+        let known = self.by_name.get(&change.name);
+        if known.is_some_and(|known| known.revision >= change.revision) {
             return false;
         }
-        self.doubtful.remove(&change.name);
+        self.unconfirmed.remove(&change.name);
         self.newest = self.newest.max(change.revision);
-        let held = Held {
+        let known = KnownEntry {
             revision: change.revision,
             entry: change.entry.clone(),
             removed_at: now,
         };
-        let former = self.by_name.insert(change.name.clone(), held);
-        if let Some(former) = former.and_then(|held| held.entry) {
+        let former = self.by_name.insert(change.name.clone(), known);
+        if let Some(former) = former.and_then(|known| known.entry) {
             self.runs.remove(&former.id);
             if change.entry.is_none() {
                 self.leaving.remove(&former.id);
             }
-            self.holders.remove(former.address, &change.name);
-            self.fit_holder(former.address);
+            self.owners.remove(former.address, &change.name);
+            self.recompute_owner(former.address);
         }
         if let Some(entry) = &change.entry {
             self.runs.insert(entry.id.clone(), change.name.clone());
-            self.holders.add(entry.address, &change.name);
-            self.fit_holder(entry.address);
+            self.owners.add(entry.address, &change.name);
+            self.recompute_owner(entry.address);
         }
         true
     }
 
-    /// Notes that another target answers where a run was published, seen here or told by a peer.
-    /// Returns whether that is news. What is written under its name later counts again.
-    pub fn displaced(&mut self, displaced: &Displaced) -> bool {
-        let known = self.displaced.entry(displaced.name.clone()).or_default();
-        if *known >= displaced.revision {
+    /// Records that another target answers at the address of an entry, as observed here or by a peer.
+    /// Returns whether that is new. A later entry under the same name is valid again.
+    pub fn displaced(&mut self, takeover: &Displaced) -> bool {
+        let known = self.takeovers.entry(takeover.name.clone()).or_default();
+        if *known >= takeover.revision {
             return false;
         }
-        *known = displaced.revision;
-        self.fit_holder_of(&displaced.name);
+        *known = takeover.revision;
+        self.recompute_owner_for(&takeover.name);
         true
     }
 
-    /// What is to be told of a run at whose address another target answers.
+    /// Returns the report that another target answers at the address of a run; `None` if the run isn't
+    /// published.
     pub fn displacement(&self, run: &str) -> Option<Displaced> {
         let name = self.runs.get(run)?;
         let revision = self.by_name.get(name)?.revision;
@@ -213,66 +218,67 @@
         })
     }
 
-    /// Notes that a run has said that it leaves, here or to a peer. Returns whether that is news.
+    /// Records that a run announced that it leaves, here or to a peer. Returns whether that is new.
     ///
-    /// It gets no request any more, whatever is published: the store may be away, and what it holds is older
-    /// than the word of the target itself. That may come before the entry does.
+    /// The run gets no requests any more, whatever is published: the store may be unavailable, and its entry
+    /// is older than the announcement. The announcement may arrive before the entry.
     pub fn leaves(&mut self, now: MonoMs, run: &TargetId) -> bool {
         self.leaving.insert(run.clone(), now).is_none()
     }
 
-    /// The runs that have said that they leave.
+    /// Returns the runs that announced that they leave, for a peer that has just linked.
     pub fn leaving(&self) -> Vec<TargetId> {
         self.leaving.keys().cloned().collect()
     }
 
-    fn fit_holder_of(&mut self, name: &TargetName) {
+    fn recompute_owner_for(&mut self, name: &TargetName) {
         if let Some(address) = self.published_entry(name).map(|entry| entry.address) {
-            self.fit_holder(address);
+            self.recompute_owner(address);
         }
     }
 
-    /// Finds out anew which entry holds an address.
-    fn fit_holder(&mut self, address: SocketAddr) {
+    /// Recomputes which entry owns an address.
+    fn recompute_owner(&mut self, address: SocketAddr) {
         let Self {
             by_name,
-            displaced,
-            doubtful,
-            holders,
+            takeovers,
+            unconfirmed,
+            owners,
             ..
         } = self;
-        holders.fit(address, |name| {
-            let held = by_name.get(name)?;
-            let is_displaced = displaced.get(name).is_some_and(|at| *at >= held.revision);
-            let entry = held.entry.as_ref().filter(|_entry| !is_displaced)?;
-            Some(Claim {
+        owners.recompute(address, |name| {
+            let known = by_name.get(name)?;
+            let is_taken_over = takeovers.get(name).is_some_and(|at| *at >= known.revision);
+            let entry = known.entry.as_ref().filter(|_entry| !is_taken_over)?;
+            Some(AddressClaim {
                 entry,
-                revision: held.revision,
-                stands: !doubtful.contains_key(name),
+                revision: known.revision,
+                is_live: !unconfirmed.contains_key(name),
             })
         });
     }
 
-    /// Lets doubtful removals take effect once their time is over. Returns the targets.
+    /// Applies unconfirmed removals once `LAPSE_GRACE_MS` have passed since the store's return, and evicts
+    /// expired records. Returns the names of the removed targets.
     pub fn settle(&mut self, now: MonoMs) -> Vec<TargetName> {
-        let is_over = !self.store_silent
+        let is_grace_over = !self.store_silent
             && self
                 .store_back_at
                 .is_none_or(|back| now.since(back) >= LAPSE_GRACE_MS);
-        self.forget_removals(now);
+        self.evict_removals(now);
         let runs = &self.runs;
-        self.leaving.retain(|run, heard_at| {
-            runs.contains_key(run) || now.since(*heard_at) < REMEMBER_REMOVED_MS
+        self.leaving.retain(|run, received_at| {
+            runs.contains_key(run) || now.since(*received_at) < REMOVAL_RETENTION_MS
         });
         let (by_name, newest) = (&self.by_name, self.newest);
-        // The word of a displaced entry may come before the entry itself.
-        self.displaced
+        // A takeover may be reported before the entry itself arrives.
+        self.takeovers
             .retain(|name, revision| by_name.contains_key(name) || *revision > newest);
-        if !is_over || self.doubtful.is_empty() {
+        if !is_grace_over || self.unconfirmed.is_empty() {
             return Vec::new();
         }
-        let doubtful = std::mem::take(&mut self.doubtful);
-        doubtful
+        let unconfirmed = std::mem::take(&mut self.unconfirmed);
+        unconfirmed
             .into_iter()
             .map(|(name, revision)| removal(&name, revision))
             .filter(|change| self.merge(now, change))
@@ -280,104 +286,107 @@
             .collect()
     }
 
-    fn forget_removals(&mut self, now: MonoMs) {
+    fn evict_removals(&mut self, now: MonoMs) {
         let complete_since = &mut self.complete_since;
-        self.by_name.retain(|_, held| {
-            let is_kept = held.entry.is_some() || now.since(held.removed_at) < REMEMBER_REMOVED_MS;
+        self.by_name.retain(|_, known| {
+            let is_kept =
+                known.entry.is_some() || now.since(known.removed_at) < REMOVAL_RETENTION_MS;
             if !is_kept {
-                *complete_since = held.revision.max(*complete_since);
+                *complete_since = known.revision.max(*complete_since);
             }
             is_kept
         });
     }
 
-    /// The entry of a run, while it is published.
+    /// Returns the entry of a run if it is published.
     pub fn entry(&self, run: &str) -> Option<&TargetEntry> {
         self.published_entry(self.runs.get(run)?)
     }
 
-    /// The entry that is published under a name.
+    /// Returns the entry that is published under a name.
     pub fn published_entry(&self, name: &str) -> Option<&TargetEntry> {
-        self.by_name.get(name).and_then(|held| held.entry.as_ref())
+        self.by_name
+            .get(name)
+            .and_then(|known| known.entry.as_ref())
     }
 
-    /// The entry that takes requests at an address.
+    /// Returns the entry that takes requests at an address.
     pub fn ready_at(&self, address: SocketAddr) -> Option<&TargetEntry> {
-        self.ready_entry(self.holders.at(address)?)
+        self.ready_entry(self.owners.owner(address)?)
     }
 
-    /// Whether the store didn't answer when it was last asked.
+    /// Returns whether the store failed to answer the last call.
     pub fn lost_store(&self) -> bool {
         self.store_silent
     }
 
-    /// All targets that take requests.
+    /// Returns all targets that take requests, sorted by name.
     pub fn all_ready(&self) -> impl Iterator<Item = &TargetEntry> {
         self.by_name
             .values()
-            .filter_map(|held| held.entry.as_ref())
+            .filter_map(|known| known.entry.as_ref())
             .filter(|entry| self.takes_requests(entry))
     }
 
     fn takes_requests(&self, entry: &TargetEntry) -> bool {
         entry.state == TargetState::Ready
-            && self.holders.is_held_by(entry)
+            && self.owners.is_owner(entry)
             && !self.leaving.contains_key(&entry.id)
     }
 
-    /// Names of all targets that take requests, in order.
+    /// Returns the run ids of all targets that take requests, sorted.
     pub fn ready_names(&self) -> Vec<String> {
-        let mut names: Vec<String> = self.all_ready().map(|entry| entry.id.to_string()).collect();
-        names.sort_unstable();
-        names
+        let mut ids: Vec<String> = self.all_ready().map(|entry| entry.id.to_string()).collect();
+        ids.sort_unstable();
+        ids
     }
 
-    /// The entry of a run, while it is published and takes requests.
+    /// Returns the entry of a run if it is published and takes requests.
     pub fn ready_entry(&self, id: &str) -> Option<&TargetEntry> {
         self.entry(id).filter(|entry| self.takes_requests(entry))
     }
 
-    /// Revision of the newest change that is known.
+    /// Returns the revision of the newest known change.
     pub fn revision(&self) -> u64 {
         self.newest
     }
 
-    /// Revision before which nothing is left to be found out: that of the first doubtful removal at
-    /// most.
+    /// Returns `revision`, or that before the first unconfirmed removal if it is lower: all changes up to
+    /// there have taken effect.
     pub fn settled_up_to(&self, revision: u64) -> u64 {
-        let doubtful = self.doubtful.values().min();
-        doubtful.map_or(revision, |first| revision.min(first.saturating_sub(1)))
+        let first_unconfirmed = self.unconfirmed.values().min();
+        first_unconfirmed.map_or(revision, |first| revision.min(first.saturating_sub(1)))
     }
 
-    /// Whether [`Self::changes_after`] a revision names all removals since then.
+    /// Returns whether [`Self::changes_after`] a revision includes all removals since then.
     pub fn remembers_since(&self, revision: u64) -> bool {
         revision >= self.complete_since
     }
 
-    /// What is known that happened after a revision.
+    /// Returns the known changes after a revision.
     pub fn changes_after(&self, revision: u64) -> Vec<TargetChange> {
-        self.held(|held| held.revision > revision)
+        self.changes(|known| known.revision > revision)
     }
 
-    /// All that is published.
+    /// Returns all published entries, as changes.
     pub fn all(&self) -> Vec<TargetChange> {
-        self.held(|held| held.entry.is_some())
+        self.changes(|known| known.entry.is_some())
     }
 
-    fn held(&self, is_asked: impl Fn(&Held) -> bool) -> Vec<TargetChange> {
+    fn changes(&self, is_included: impl Fn(&KnownEntry) -> bool) -> Vec<TargetChange> {
         self.by_name
             .iter()
-            .filter(|(_, held)| is_asked(held))
-            .map(|(name, held)| TargetChange {
+            .filter(|(_, known)| is_included(known))
+            .map(|(name, known)| TargetChange {
                 name: name.clone(),
-                revision: held.revision,
-                entry: held.entry.clone(),
+                revision: known.revision,
+                entry: known.entry.clone(),
                 is_unreadable: false,
             })
             .collect()
     }
 
-    /// The targets of a service that take requests.
+    /// Returns the targets of a service that take requests, sorted by name.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a TargetEntry> {
         self.all_ready()
             .filter(move |entry| &*entry.service == service)
--- a/crates/serving/src/targets/target_entry.rs
+++ b/crates/serving/src/targets/target_entry.rs
@@ -4,46 +4,46 @@
     std::net::SocketAddr,
 };
 
-/// Stands between the name of a target and the start of its run.
+/// Separates the name of a target from the start time of its run in a run id.
 const START_MARK: char = '#';
 
-/// What a target says of itself.
+/// State that a target publishes for itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
     /// It takes requests.
     Ready,
-    /// It is about to leave and gets nothing new.
+    /// It is about to leave and gets no new requests.
     Draining,
 }
 
 /// A published target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
-    /// This run of it, as [`Self::run_id`] has it.
+    /// Id of this run, from [`Self::run_id`].
     pub id: TargetId,
-    /// When this run began, in Unix ms, if it says so.
+    /// Start of this run in Unix ms; `None` if the target doesn't publish it.
     #[serde(default)]
     pub started_at_ms: Option<u64>,
-    /// Service that it belongs to.
+    /// Service that the target belongs to.
     pub service: ServiceName,
-    /// Where it listens. The address may belong to another target later.
+    /// Address that the target listens on. Another target may take it over later.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Failure domain that the target runs in.
     pub failure_domain: FailureDomain,
-    /// Requests that it serves at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether the target takes requests.
     pub state: TargetState,
 }
 
 impl TargetEntry {
-    /// Name of a run of a target that is published under `name`.
+    /// Returns the id of a run of the target that is published under `name`.
     ///
-    /// Guards against a target that starts again under its old name: prompts, memory and crashes of
-    /// the run before would count as those of the new one, which knows of none of them.
+    /// Guards against a target that restarts under its old name: prompts, memory and crashes of the former
+    /// run would be attributed to the new one, which has no state of them.
     ///
-    /// Different runs have different names, whatever somebody else writes below the targets' prefix: a
-    /// name that has the mark itself, and no start, ends in one.
+    /// Different runs get different ids, whatever other programs write below the targets' prefix: if a name
+    /// contains the mark itself and no start is given, the id ends in a mark.
     pub fn run_id(name: &str, started_at_ms: Option<u64>) -> TargetId {
         match started_at_ms {
             Some(started_at_ms) => format!("{name}{START_MARK}{started_at_ms}").into(),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Name under which it is published, and which it knows itself by.
+    /// Returns the name under which the target is published and which it uses for itself.
     pub fn name(&self) -> &str {
         match self.id.rsplit_once(START_MARK) {
             Some((name, _start)) => name,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether another entry is of a later run than this one, as far as both say when they began.
+    /// Returns whether this run started before that of another entry; false unless both publish their start.
     pub fn is_before(&self, other: &Self) -> bool {
         match (self.started_at_ms, other.started_at_ms) {
             (Some(own), Some(others)) => own < others,
--- a/crates/serving/src/targets/target_limit.rs
+++ b/crates/serving/src/targets/target_limit.rs
@@ -3,23 +3,23 @@
     serde::{Deserialize, Serialize},
 };
 
-/// What instances tell each other of the limit that a target names.
+/// A target's rate limit, as instances exchange it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TargetLimit {
-    /// The target.
+    /// Run of the target that announced the limit.
     pub target: TargetId,
-    /// Requests a second that it takes from all instances together; `None` if it names no limit any more.
+    /// Requests per second from all instances together; `None` if the target has no limit any more.
     pub per_s: Option<f64>,
-    /// One more than that of the statement which it replaces.
+    /// Version of the statement; each change increments it by one.
     pub version: u64,
 }
 
 impl TargetLimit {
-    /// Whether it replaces another statement.
+    /// Returns whether this statement replaces another one.
     ///
-    /// Guards against two instances that hear different things at the same time and swap them for ever: of two
-    /// statements of the same version the lower limit holds on both, and any goes before none.
-    pub fn is_after(&self, other: &Self) -> bool {
+    /// Guards against two instances that receive different limits at the same time and swap them forever:
+    /// of two statements with the same version both keep the lower limit, and any limit rather than none.
+    pub fn supersedes(&self, other: &Self) -> bool {
         let strictness = |limit: &Self| limit.per_s.map_or(f64::NEG_INFINITY, |per_s| -per_s);
         self.version > other.version
             || self.version == other.version && strictness(self) > strictness(other)
--- a/crates/serving/tests/serving/fixture.rs
+++ b/crates/serving/tests/serving/fixture.rs
@@ -1,4 +1,4 @@
-//! Engines and prompts of the sizes that the operators run today.
+//! Engines, prompts and instances for tests, of the sizes that are in production today.
 
 use {
     std::net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -17,7 +17,7 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A moment well after the start.
+/// A time well after the start of the process.
 pub const START: MonoMs = MonoMs(100_000);
 
 /// The group of all engines.
@@ -25,7 +25,7 @@
     number: 0,
     count: 1,
 };
-/// Where a caller asks from.
+/// Address of a caller.
 pub const CALLER: IpAddr = IpAddr::V4(Ipv4Addr::new(10, 9, 0, 1));
 
 pub fn spec() -> EngineSpec {
@@ -53,7 +53,7 @@
     }
 }
 
-/// An engine that is liked as much as any other.
+/// A candidate with the same affinity as all others.
 pub fn candidate<'a>(loads: &'a EngineLoads, engine: &str) -> Candidate<'a> {
     Candidate {
         is_limited: false,
@@ -102,13 +102,13 @@
     }
 }
 
-/// An address of its own for each target.
+/// A distinct address for each target, derived from its name.
 pub fn address_of(name: &str) -> SocketAddr {
     let hash = xxh3_64(name.as_bytes()).to_le_bytes();
     ([10, hash[0], hash[1], hash[2]], 80).into()
 }
 
-/// The entry of a run that says when it began.
+/// The entry of a run with a start time.
 pub fn run_entry(name: &str, started_at_ms: u64) -> TargetEntry {
     TargetEntry {
         id: TargetEntry::run_id(name, Some(started_at_ms)),
@@ -117,7 +117,7 @@
     }
 }
 
-/// What is published of the run of a target that says when it began.
+/// The publication of a run with a start time.
 pub fn run_change(name: &str, revision: u64, started_at_ms: u64) -> TargetChange {
     TargetChange {
         entry: Some(run_entry(name, started_at_ms)),
@@ -141,7 +141,7 @@
     }
 }
 
-/// An instance that knows a configuration and so many engines.
+/// An instance with a configuration and `engines` ready engines, named `e-00` and up.
 pub fn instance(run: u64, engines: usize) -> Serving {
     let mut serving = Serving::new(member(run, 7_000 + 10 * run as u16), rule());
     let limits = Limits::default();
@@ -151,12 +151,13 @@
         let name = format!("e-{number:02}");
         serving.target_published(START, change(&name, 1, TargetState::Ready));
     }
-    // What was published is no news of any test.
+    // Discards the news of the setup.
     serving.take_news();
     serving
 }
 
-/// What a short or a long prompt asks for.
+/// The request of a prompt, with the time limits of a short one below 30,000 tokens and of a long one from
+/// there.
 pub fn ask(prompt_tokens: u64) -> PromptAsk {
     let is_short = prompt_tokens < 30_000;
     PromptAsk {
@@ -174,7 +175,7 @@
     }
 }
 
-/// Finds engines for a prompt and counts it as sent there.
+/// Chooses engines for a prompt and records it as sent to them.
 pub fn place(
     serving: &mut Serving,
     now: MonoMs,
@@ -186,7 +187,7 @@
     serving.take_up(now, &placement).ok_or(Refusal::NoTarget)
 }
 
-/// A prompt that one engine reads.
+/// A placed prompt that one engine reads alone.
 pub fn placed(number: u64, engine: &str, prompt_tokens: u64) -> Placed {
     Placed {
         job: job(number),
@@ -201,7 +202,7 @@
     }
 }
 
-/// A prompt that has so much time, while the engines have little to do.
+/// A prompt with `slack_ms` until its first event is late, at low utilization of the engines.
 pub fn shape(prompt_tokens: u64, slack_ms: f64) -> PromptShape {
     PromptShape {
         prompt_tokens,
