--- a/crates/serving/src/engines/engine_load.rs
+++ b/crates/serving/src/engines/engine_load.rs
@@ -126,7 +126,7 @@
 
     /// Records an event of one of the engine's streams, which shows that a pass has just ended. Returns
     /// whether this changed the engine's pace.
-    pub fn event_seen(&mut self, now: MonoMs, spec: &EngineSpec) -> bool {
+    pub fn record_event(&mut self, now: MonoMs, spec: &EngineSpec) -> bool {
         let now_ms = now.0 as f64;
         if self.pass_end_ms.is_some() && now_ms - self.pass_start_ms < SAME_PASS_MS {
             return false;
--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -59,7 +59,7 @@
     }
 
     /// Returns the share of the time of a group's engines that recently assigned reading takes.
-    pub fn used(&mut self, now: MonoMs, group: EngineGroup, engines: usize) -> f64 {
+    pub fn utilization(&mut self, now: MonoMs, group: EngineGroup, engines: usize) -> f64 {
         self.work
             .entry(group)
             .or_default()
@@ -72,7 +72,7 @@
     }
 
     /// Adds a prompt that was sent to engines of a group. Has no effect if it is known.
-    pub fn placed(&mut self, now: MonoMs, spec: &EngineSpec, group: EngineGroup, placed: Placed) {
+    pub fn add_job(&mut self, now: MonoMs, spec: &EngineSpec, group: EngineGroup, placed: Placed) {
         if self.jobs.contains_key(&placed.job) {
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     /// Records the first event of a prompt: all of it has been read, and its engine writes the stream.
-    pub fn begun(&mut self, now: MonoMs, spec: &EngineSpec, id: JobId) {
+    pub fn record_first_event(&mut self, now: MonoMs, spec: &EngineSpec, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -137,7 +137,7 @@
     }
 
     /// Records that the engine that was to answer a prompt failed it.
-    pub fn failed(&mut self, now: MonoMs, id: JobId) {
+    pub fn record_failure(&mut self, now: MonoMs, id: JobId) {
         let engine = self
             .jobs
             .get(&id)
@@ -148,14 +148,25 @@
     }
 
     /// Records an event of one of an engine's streams. Returns the engine's pace if this changed it.
-    pub fn event_seen(&mut self, now: MonoMs, spec: &EngineSpec, engine: &TargetId) -> Option<f64> {
+    pub fn record_event(
+        &mut self,
+        now: MonoMs,
+        spec: &EngineSpec,
+        engine: &TargetId,
+    ) -> Option<f64> {
         let engine = self.engines.get_mut(engine)?;
-        engine.event_seen(now, spec).then_some(engine.pace)
+        engine.record_event(now, spec).then_some(engine.pace)
     }
 
     /// Applies an engine's pace, as reported by the engine or observed by a peer. Returns whether it differs
     /// enough from the known pace to replace it.
-    pub fn paced(&mut self, now: MonoMs, spec: &EngineSpec, engine: &TargetId, pace: f64) -> bool {
+    pub fn apply_pace(
+        &mut self,
+        now: MonoMs,
+        spec: &EngineSpec,
+        engine: &TargetId,
+        pace: f64,
+    ) -> bool {
         self.engine(now, spec, engine).set_pace(pace)
     }
 
@@ -168,7 +179,7 @@
     ///
     /// Guards against prompts that engines reject or whose callers leave: each attempt at a long prompt would
     /// count as seconds of the engines' time, so that the next attempt is refused as too expensive.
-    pub fn ended(&mut self, id: JobId) {
+    pub fn remove_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
@@ -200,19 +211,19 @@
             .copied()
             .collect();
         for id in removed {
-            self.ended(id);
+            self.remove_job(id);
         }
     }
 
     /// Returns the prompts of one run of an instance, for a peer that has just linked.
-    pub fn jobs_of(&self, run: u64) -> impl Iterator<Item = &Job> {
+    pub fn jobs_of_run(&self, run: u64) -> impl Iterator<Item = &Job> {
         self.jobs
             .values()
             .filter(move |job| job.placed.job.run == run)
     }
 
     /// Evicts prompts whose end was never reported, and unpublished engines that answer no prompt.
-    pub fn forget_old(&mut self, now: MonoMs, is_published: impl Fn(&str) -> bool) {
+    pub fn evict_expired(&mut self, now: MonoMs, is_published: impl Fn(&str) -> bool) {
         let expired: Vec<JobId> = self
             .jobs
             .values()
@@ -220,7 +231,7 @@
             .map(|job| job.placed.job)
             .collect();
         for id in expired {
-            self.ended(id);
+            self.remove_job(id);
         }
         self.engines
             .retain(|id, engine| engine.running() > 0 || is_published(id));
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -6,7 +6,7 @@
         quotas::{PermitAnswer, PermitAsk},
         relays::{Extent, Follow, Word},
         retries::Fingerprint,
-        targets::{Displaced, TargetChange, TargetLimit},
+        targets::{AddressTakeover, TargetChange, TargetLimit},
     },
     serde::{Deserialize, Serialize},
     std::net::SocketAddr,
@@ -269,7 +269,7 @@
     pub limits: Vec<TargetLimit>,
     /// Entries whose targets aren't at their addresses.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub displaced: Vec<Displaced>,
+    pub displaced: Vec<AddressTakeover>,
     /// Engines whose pace was seen to change.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub paces: Vec<EnginePace>,
--- a/crates/serving/src/placement/choose.rs
+++ b/crates/serving/src/placement/choose.rs
@@ -41,7 +41,7 @@
     /// Expected value of the answer.
     pub gain: f64,
     /// Predicted loss of other prompts and streams.
-    pub harm: f64,
+    pub cost_to_others: f64,
 }
 
 /// Chooses engines for a prompt; `None` if no engine can take it.
--- a/crates/serving/src/placement/prompt_shape.rs
+++ b/crates/serving/src/placement/prompt_shape.rs
@@ -16,7 +16,7 @@
     /// Memory to be reserved at helpers; `None` if the prompt fits into the engine that answers.
     pub reserved: Option<Reserved>,
     /// Share of the engines' time that recently assigned reading takes, below 1.
-    pub used: f64,
+    pub utilization: f64,
     /// Whether this instance knows little of what other instances place.
     pub is_blind: bool,
     /// Mechanisms that are switched off for this choice.
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct Candidate<'a> {
     /// Affinity of this instance to the engine, from 0 to 1; decides between equal engines.
-    pub liking: f64,
+    pub affinity: f64,
     /// Whether the engine announced a limit of requests. It then takes only prompts that it reads alone,
     /// since reservations of memory at engines that read together would count towards the limit.
     pub is_limited: bool,
--- a/crates/serving/src/placement/prompt_split.rs
+++ b/crates/serving/src/placement/prompt_split.rs
@@ -71,10 +71,10 @@
         let Self { context, part, .. } = *self;
         let mut first = engine_share(context, candidate.load, index, part, part.goes_first);
         first.stream_loss += answer_loss(context, candidate.load);
-        first.stream_loss += AFFINITY_GAIN * (1.0 - candidate.liking);
+        first.stream_loss += AFFINITY_GAIN * (1.0 - candidate.affinity);
         let pause_loss = own_pause_loss(context, candidate.load, part, first.finish_ms);
         // Kept out of the share: it costs others nothing and must not count towards a refusal.
-        let affinity_loss = self.blind_gain() * (1.0 - candidate.liking);
+        let affinity_loss = self.blind_gain() * (1.0 - candidate.affinity);
         let failure_loss = context.failure_loss(candidate.load);
         let own_loss = context.own_loss(first.finish_ms);
         let loss = first.cost_to_others() + pause_loss + affinity_loss + failure_loss + own_loss;
@@ -154,7 +154,7 @@
             first_event_ms: finish_ms,
             loss: own_loss + cost_to_others + pause_loss + helpers.len() as f64 * LOSS_PER_HELPER,
             gain: self.context.value() - self.context.late_loss(finish_ms) - pause_loss,
-            harm: cost_to_others,
+            cost_to_others,
         }
     }
 
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -27,7 +27,7 @@
         quotas::QuotaBook,
         relays::{Followers, Following},
         retries::{CrashBook, FleetBudget, FleetBudgetRule},
-        targets::{CallLoads, NoticeBook, TargetBook},
+        targets::{CallLoads, TargetNotices, TargetRegistry},
     },
     news::News,
     peers::Behind,
@@ -49,10 +49,10 @@
     own: Member,
     configuration: Option<Arc<Configuration>>,
     published: Option<PublishedText>,
-    targets: TargetBook,
+    targets: TargetRegistry,
     engines: EngineLoads,
     calls: CallLoads,
-    notices: NoticeBook,
+    notices: TargetNotices,
     quotas: QuotaBook,
     next_permit: u64,
     members: MemberBook,
@@ -94,10 +94,10 @@
             own,
             configuration: None,
             published: None,
-            targets: TargetBook::default(),
+            targets: TargetRegistry::default(),
             engines: EngineLoads::default(),
             calls: CallLoads::default(),
-            notices: NoticeBook::default(),
+            notices: TargetNotices::default(),
             quotas: QuotaBook::default(),
             next_permit: 0,
             members: MemberBook::default(),
@@ -165,7 +165,7 @@
 
     /// Settles what time alone decides.
     pub fn tick(&mut self, now: MonoMs) {
-        self.targets.settle(now);
+        self.targets.confirm_removals(now);
         self.notice_behind(now);
         for run in self.members.silent_runs(now) {
             self.engines.drop_run(run, &[]);
@@ -177,10 +177,10 @@
         self.tick_relays(now);
         let targets = &self.targets;
         self.engines
-            .forget_old(now, |id| targets.entry(id).is_some());
+            .evict_expired(now, |id| targets.entry(id).is_some());
         self.calls.retain(|id| targets.entry(id).is_some());
         self.notices
-            .forget_old(now, |id| targets.entry(id).is_some());
+            .evict_expired(now, |id| targets.entry(id).is_some());
         self.quotas.forget_old(now);
     }
 
--- a/crates/serving/src/serving/calls.rs
+++ b/crates/serving/src/serving/calls.rs
@@ -32,7 +32,7 @@
         let target = target
             .cloned()
             .ok_or_else(|| self.none_open(now, ask.service))?;
-        self.calls.sent(&target.id);
+        self.calls.record_sent(&target.id);
         Ok(CallPlace { target })
     }
 
@@ -56,12 +56,12 @@
 
     /// Notes that a call that was counted as sent isn't sent after all.
     pub fn call_withdrawn(&mut self, target: &TargetId) {
-        self.calls.withdrawn(target);
+        self.calls.record_withdrawn(target);
     }
 
     /// Notes the end of a call.
     pub fn call_ended(&mut self, now: MonoMs, target: &TargetId, took_ms: f64, failed: bool) {
-        self.calls.ended(now, target, took_ms, failed);
+        self.calls.record_ended(now, target, took_ms, failed);
     }
 
     /// Whether a target could not be reached a moment ago, here or by a peer.
@@ -71,16 +71,16 @@
 
     /// Notes that no connection to a target could be had.
     pub fn unreachable(&mut self, now: MonoMs, target: &TargetId) {
-        self.calls.unreachable(now, target);
+        self.calls.record_unreachable(now, target);
         self.news.for_all().unreachable.push(target.clone());
     }
 
     /// Notes that another target answered where a run was published.
     pub fn displaced(&mut self, run: &TargetId) {
-        let Some(displaced) = self.targets.displacement(run) else {
+        let Some(displaced) = self.targets.takeover_of(run) else {
             return;
         };
-        if self.targets.displaced(&displaced) {
+        if self.targets.apply_takeover(&displaced) {
             self.news.for_all().displaced.push(displaced);
         }
     }
@@ -100,7 +100,7 @@
     pub fn has_restarted(&self, entry: &TargetEntry) -> bool {
         self.targets
             .published_entry(entry.name())
-            .is_some_and(|published| entry.is_before(published))
+            .is_some_and(|published| entry.started_before(published))
     }
 
     /// Notes that a target served a request.
--- a/crates/serving/src/serving/configured.rs
+++ b/crates/serving/src/serving/configured.rs
@@ -50,7 +50,7 @@
 
     /// Whether the store didn't answer when it was last asked.
     pub fn lost_store(&self) -> bool {
-        self.targets.lost_store()
+        self.targets.is_store_lost()
     }
 
     /// Names of the targets that take requests, in order.
@@ -60,11 +60,11 @@
 
     /// Takes in a change of a target that the store published. Returns whether it takes effect.
     pub fn target_published(&mut self, now: MonoMs, change: TargetChange) -> bool {
-        self.targets.published(now, change).is_some()
+        self.targets.apply_store_change(now, change).is_some()
     }
 
     /// Takes in all targets that the store held at a revision.
     pub fn targets_published(&mut self, now: MonoMs, revision: u64, all: Vec<TargetChange>) {
-        self.targets.published_all(now, revision, all);
+        self.targets.apply_store_snapshot(now, revision, all);
     }
 }
--- a/crates/serving/src/serving/news.rs
+++ b/crates/serving/src/serving/news.rs
@@ -86,7 +86,7 @@
         let is_theirs = |engine: &TargetId| groups.iter().any(|group| group.has(engine));
         let jobs = || {
             self.engines
-                .jobs_of(self.own.run)
+                .jobs_of_run(self.own.run)
                 .filter(|job| job.placed.engines.first().is_some_and(is_theirs))
         };
         Frame {
--- a/crates/serving/src/serving/notices.rs
+++ b/crates/serving/src/serving/notices.rs
@@ -21,8 +21,8 @@
         target: &TargetId,
         notice: &TargetNotice,
     ) -> bool {
-        let limit = self.notices.answered(now, sent_at, target, notice);
-        let leaves = notice.is_leaving && self.targets.leaves(now, target);
+        let limit = self.notices.apply_answer(now, sent_at, target, notice);
+        let leaves = notice.is_leaving && self.targets.record_leaving(now, target);
         if let Some(for_ms) = notice.retry_after_ms {
             self.notices.pause(now, target, for_ms);
         }
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -9,7 +9,7 @@
         names::TargetId,
         relays::Extent,
         retries::Fingerprint,
-        targets::{Displaced, TargetChange, TargetEntry, TargetLimit},
+        targets::{AddressTakeover, TargetChange, TargetEntry, TargetLimit},
     },
     std::{cmp::Reverse, net::SocketAddr},
     whinlatch_core::MonoMs,
@@ -36,7 +36,7 @@
     unreachable: Vec<TargetId>,
     leaving: Vec<TargetId>,
     limits: Vec<TargetLimit>,
-    displaced: Vec<Displaced>,
+    displaced: Vec<AddressTakeover>,
 }
 
 fn keep<T>(mut told: Vec<T>, is_news: impl FnMut(&T) -> bool) -> Vec<T> {
@@ -53,7 +53,7 @@
         let Some(spec) = self.spec_of_service(&engine.service) else {
             return;
         };
-        if self.engines.paced(now, &spec, &engine.id, pace) {
+        if self.engines.apply_pace(now, &spec, &engine.id, pace) {
             let id = engine.id.clone();
             let group = self.groups.of(&id);
             self.news.of(group).paces.push(EnginePace { id, pace });
@@ -173,7 +173,7 @@
         self.take_warnings(now, warnings);
         for seen in &frame.paces {
             if let Some(spec) = self.spec_of_target(&seen.id) {
-                self.engines.paced(now, &spec, &seen.id, seen.pace);
+                self.engines.apply_pace(now, &spec, &seen.id, seen.pace);
             }
         }
         if frame.is_snapshot {
@@ -192,10 +192,10 @@
             self.note_begun(now, job);
         }
         for job in frame.failed {
-            self.engines.failed(now, job);
+            self.engines.record_failure(now, job);
         }
         for job in frame.ended {
-            self.engines.ended(job);
+            self.engines.remove_job(job);
         }
         changes
     }
@@ -206,7 +206,9 @@
         now: MonoMs,
         changes: Vec<TargetChange>,
     ) -> Vec<TargetChange> {
-        keep(changes, |change| self.targets.told(now, change))
+        keep(changes, |change| {
+            self.targets.apply_peer_change(now, change)
+        })
     }
 
     fn take_member(&mut self, now: MonoMs, member: Member) {
@@ -250,10 +252,14 @@
         let new = Warnings {
             crashes: keep(told.crashes, |crash| self.crashes.note(now, crash)),
             served: keep(told.served, |request| self.crashes.served(*request)),
-            unreachable: keep(told.unreachable, |id| self.calls.unreachable(now, id)),
-            leaving: keep(told.leaving, |run| self.targets.leaves(now, run)),
-            limits: keep(told.limits, |limit| self.notices.told_limit(now, limit)),
-            displaced: keep(told.displaced, |entry| self.targets.displaced(entry)),
+            unreachable: keep(told.unreachable, |id| {
+                self.calls.record_unreachable(now, id)
+            }),
+            leaving: keep(told.leaving, |run| self.targets.record_leaving(now, run)),
+            limits: keep(told.limits, |limit| {
+                self.notices.apply_peer_limit(now, limit)
+            }),
+            displaced: keep(told.displaced, |entry| self.targets.apply_takeover(entry)),
         };
         if self.is_hub() {
             let news = self.news.for_all();
@@ -286,6 +292,6 @@
         else {
             return;
         };
-        self.engines.begun(now, &spec, job);
+        self.engines.record_first_event(now, &spec, job);
     }
 }
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -77,7 +77,7 @@
             .iter()
             .zip(&loads)
             .map(|(id, load)| Candidate {
-                liking: liking(self.own.run, id),
+                affinity: affinity(self.own.run, id),
                 is_limited: self.is_limited(id),
                 load,
             })
@@ -130,7 +130,7 @@
             pause_limit_ms: ask.pause_limit_ms as f64,
             patience_ms: ask.patience_ms as f64,
             reserved: Reserved::for_tokens(tokens, spec.memory_tokens),
-            used: self.engines.used(now, group, engines),
+            utilization: self.engines.utilization(now, group, engines),
             is_blind: self.is_blind(now, group),
             without: self.without,
         }
@@ -145,15 +145,15 @@
         engines: usize,
     ) -> Weighed {
         let time_loss = if self.without.has(Mechanism::PriceOfTime) {
-            work_loss(spec, shape.prompt_tokens, shape.used)
+            work_loss(spec, shape.prompt_tokens, shape.utilization)
         } else {
             0.0
         };
         Weighed {
             gain: choice.gain,
-            harm: choice.harm,
+            harm: choice.cost_to_others,
             time_loss,
-            used: shape.used,
+            used: shape.utilization,
             first_event_ms: choice.first_event_ms,
             engines: u32::try_from(engines).unwrap_or(u32::MAX),
             is_blind: shape.is_blind,
@@ -215,7 +215,7 @@
     pub(super) fn count_placed(&mut self, now: MonoMs, spec: &EngineSpec, placed: Placed) {
         if let Some(engine) = placed.engines.first() {
             let group = self.groups.of(engine);
-            self.engines.placed(now, spec, group, placed);
+            self.engines.add_job(now, spec, group, placed);
         }
     }
 
@@ -269,7 +269,7 @@
         for group in self.groups_of(job) {
             self.news.of(group).failed.push(job);
         }
-        self.engines.failed(now, job);
+        self.engines.record_failure(now, job);
     }
 
     /// Notes that a prompt is over.
@@ -278,7 +278,7 @@
             self.news.of(group).ended.push(job);
         }
         self.asked_groups.remove(&job);
-        self.engines.ended(job);
+        self.engines.remove_job(job);
     }
 
     /// Notes an event of a stream of an engine, which tells when its passes end.
@@ -286,7 +286,7 @@
         let Some(spec) = self.spec_of_service(&engine.service) else {
             return;
         };
-        if let Some(pace) = self.engines.event_seen(now, &spec, &engine.id) {
+        if let Some(pace) = self.engines.record_event(now, &spec, &engine.id) {
             let id = engine.id.clone();
             let group = self.groups.of(&id);
             self.news.of(group).paces.push(EnginePace { id, pace });
@@ -296,7 +296,7 @@
 
 /// How much this instance likes an engine, from 0 to 1: instances that know nothing of each other,
 /// as after a start of all of them, choose different engines then.
-fn liking(run: u64, engine: &str) -> f64 {
+fn affinity(run: u64, engine: &str) -> f64 {
     let hash = xxh3_64_with_seed(engine.as_bytes(), run);
     hash as f64 / u64::MAX as f64
 }
--- a/crates/serving/src/serving/quotas.rs
+++ b/crates/serving/src/serving/quotas.rs
@@ -175,7 +175,7 @@
 
     /// The targets to which nothing may be sent now.
     pub fn closed_targets(&self, now: MonoMs) -> Vec<TargetId> {
-        let may_be_closed = self.quotas.refused().chain(self.notices.paused());
+        let may_be_closed = self.quotas.refused().chain(self.notices.paused_targets());
         may_be_closed
             .filter(|target| self.closed_until(now, target).is_some())
             .cloned()
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -107,7 +107,7 @@
     pub(super) fn extent(&self) -> Extent {
         let known_to = self.following.known_to().unwrap_or(0);
         Extent {
-            revision: self.targets.settled_up_to(known_to),
+            revision: self.targets.confirmed_revision(known_to),
             version: self.version(),
         }
     }
@@ -164,7 +164,9 @@
     ) -> Vec<TargetChange> {
         let news = match word.since {
             _ if !self.following.continues(word) => Vec::new(),
-            None => self.targets.told_all(now, word.known.revision, targets),
+            None => self
+                .targets
+                .apply_peer_snapshot(now, word.known.revision, targets),
             Some(_) => self.take_changes(now, targets),
         };
         let version = self.version();
@@ -220,7 +222,7 @@
     /// What somebody lacks who knows all up to an extent, with a word that confirms the rest, if this instance
     /// can give one.
     fn lacking(&self, extent: Extent, word: Option<Word>) -> Frame {
-        let is_known = extent.revision > 0 && self.targets.remembers_since(extent.revision);
+        let is_known = extent.revision > 0 && self.targets.has_removals_since(extent.revision);
         // A list of all targets tells removals by what it lacks, which only a word makes certain.
         let since = (is_known || word.is_none()).then_some(extent.revision);
         let published = self.published.clone();
--- a/crates/serving/src/targets.rs
+++ b/crates/serving/src/targets.rs
@@ -4,19 +4,19 @@
 mod address_owners;
 mod call_loads;
 mod failure_share;
-mod notice_book;
-mod target_book;
 mod target_entry;
 mod target_limit;
 mod target_notice;
+mod target_notices;
+mod target_registry;
 
 pub use {
     address_owners::{AddressClaim, AddressOwners},
     call_loads::CallLoads,
     failure_share::FailureShare,
-    notice_book::NoticeBook,
-    target_book::{Displaced, TargetBook, TargetChange},
     target_entry::{TargetEntry, TargetState},
     target_limit::TargetLimit,
     target_notice::TargetNotice,
+    target_notices::TargetNotices,
+    target_registry::{AddressTakeover, TargetChange, TargetRegistry},
 };
--- a/crates/serving/src/targets/address_owners.rs
+++ b/crates/serving/src/targets/address_owners.rs
@@ -65,7 +65,7 @@
         let mut claims: Vec<AddressClaim<'a>> = names.filter_map(claim).collect();
         claims.sort_unstable_by_key(AddressClaim::rank);
         let owner = claims.into_iter().reduce(|owner, claim| {
-            if claim.entry.is_before(owner.entry) {
+            if claim.entry.started_before(owner.entry) {
                 owner
             } else {
                 claim
--- a/crates/serving/src/targets/call_loads.rs
+++ b/crates/serving/src/targets/call_loads.rs
@@ -68,12 +68,12 @@
     }
 
     /// Counts a request as in flight.
-    pub fn sent(&mut self, target: &TargetId) {
+    pub fn record_sent(&mut self, target: &TargetId) {
         self.by_target.entry(target.clone()).or_default().in_flight += 1;
     }
 
     /// Uncounts a request that was recorded as sent but never was.
-    pub fn withdrawn(&mut self, target: &str) {
+    pub fn record_withdrawn(&mut self, target: &str) {
         if let Some(load) = self.by_target.get_mut(target) {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
@@ -81,7 +81,7 @@
 
     /// Records the end of a request; `failed` if the target didn't serve it. Only answers that didn't fail
     /// count towards the answer time.
-    pub fn ended(&mut self, now: MonoMs, target: &str, took_ms: f64, failed: bool) {
+    pub fn record_ended(&mut self, now: MonoMs, target: &str, took_ms: f64, failed: bool) {
         let Some(load) = self.by_target.get_mut(target) else {
             return;
         };
@@ -94,7 +94,7 @@
     }
 
     /// Records a failed connection to a target. Returns false if the target already counted as unreachable.
-    pub fn unreachable(&mut self, now: MonoMs, target: &TargetId) -> bool {
+    pub fn record_unreachable(&mut self, now: MonoMs, target: &TargetId) -> bool {
         let load = self.by_target.entry(target.clone()).or_default();
         let is_news = load.unreachable_until <= now;
         load.unreachable_until = now + UNREACHABLE_TTL_MS;
--- a/crates/serving/src/targets/target_entry.rs
+++ b/crates/serving/src/targets/target_entry.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether this run started before that of another entry; false unless both publish their start.
-    pub fn is_before(&self, other: &Self) -> bool {
+    pub fn started_before(&self, other: &Self) -> bool {
         match (self.started_at_ms, other.started_at_ms) {
             (Some(own), Some(others)) => own < others,
             _ => false,
--- a/crates/serving/src/targets/notice_book.rs
+++ b/crates/serving/src/targets/target_notices.rs
@@ -16,7 +16,7 @@
 
 /// Rate limits and pauses that targets announced in their answers.
 #[derive(Debug, Default)]
-pub struct NoticeBook {
+pub struct TargetNotices {
     limits: HashMap<TargetId, KnownLimit>,
     paused_until: HashMap<TargetId, MonoMs>,
 }
@@ -28,13 +28,13 @@
     received_at: MonoMs,
 }
 
-impl NoticeBook {
+impl TargetNotices {
     /// Applies the limit, or its absence, from an answer to a request sent at `sent_at`. Returns the new
     /// limit if it differs from the known one.
     ///
     /// An answer to a request that was sent before a limit was received doesn't lift that limit: answers on
     /// different connections overtake each other.
-    pub fn answered(
+    pub fn apply_answer(
         &mut self,
         now: MonoMs,
         sent_at: MonoMs,
@@ -65,7 +65,7 @@
     }
 
     /// Applies a target's limit that a peer sent. Returns whether it replaced the known one.
-    pub fn told_limit(&mut self, now: MonoMs, limit: &TargetLimit) -> bool {
+    pub fn apply_peer_limit(&mut self, now: MonoMs, limit: &TargetLimit) -> bool {
         let known = self.limits.get(&limit.target);
         let is_news = known.is_none_or(|known| limit.supersedes(&known.limit));
         if is_news {
@@ -116,13 +116,13 @@
 
     /// Returns the targets that asked this instance to pause, including pauses that ended since the last
     /// eviction.
-    pub fn paused(&self) -> impl Iterator<Item = &TargetId> {
+    pub fn paused_targets(&self) -> impl Iterator<Item = &TargetId> {
         self.paused_until.keys()
     }
 
     /// Evicts pauses that are over and the limits of unpublished targets, except recent ones, whose entry
     /// may still arrive.
-    pub fn forget_old(&mut self, now: MonoMs, is_published: impl Fn(&str) -> bool) {
+    pub fn evict_expired(&mut self, now: MonoMs, is_published: impl Fn(&str) -> bool) {
         self.limits.retain(|id, known| {
             is_published(id) || now.since(known.received_at) < UNPUBLISHED_LIMIT_TTL_MS
         });
--- a/crates/serving/src/targets/target_book.rs
+++ b/crates/serving/src/targets/target_registry.rs
@@ -35,7 +35,7 @@
 
 /// Reports that another target answers at the address of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Displaced {
+pub struct AddressTakeover {
     /// Name under which the entry is published.
     pub name: TargetName,
     /// Revision of the entry. A later entry under the same name is not affected.
@@ -51,7 +51,7 @@
 
 /// The published targets that this instance knows from the store and from peers.
 #[derive(Debug, Default)]
-pub struct TargetBook {
+pub struct TargetRegistry {
     /// Sorted by name, so that a choice among equal targets is deterministic. Includes recent removals.
     by_name: BTreeMap<TargetName, KnownEntry>,
     /// Names of the runs that are published.
@@ -71,7 +71,7 @@
     complete_since: u64,
 }
 
-impl TargetBook {
+impl TargetRegistry {
     /// Records that the store didn't answer. Entries that it removes until shortly after its return may have
     /// expired only because targets couldn't reach it either.
     pub fn store_failed(&mut self) {
@@ -96,7 +96,11 @@
     /// Guards against entries that expire while the store is unavailable: their targets are alive and
     /// publish them again soon after. Such a removal stays unconfirmed and takes effect only if the entry is
     /// still missing after `LAPSE_GRACE_MS`.
-    pub fn published(&mut self, now: MonoMs, change: TargetChange) -> Option<TargetChange> {
+    pub fn apply_store_change(
+        &mut self,
+        now: MonoMs,
+        change: TargetChange,
+    ) -> Option<TargetChange> {
         self.is_initialized = true;
         let was_store_lost = self.store_silent
             || self
@@ -116,22 +120,22 @@
     }
 
     /// Applies all entries of the store at `revision`. Known entries that are missing from it are removed.
-    pub fn published_all(&mut self, now: MonoMs, revision: u64, changes: Vec<TargetChange>) {
+    pub fn apply_store_snapshot(&mut self, now: MonoMs, revision: u64, changes: Vec<TargetChange>) {
         let missing = self.missing_from(&changes, revision);
         self.mark_complete_at(revision);
         for change in changes.into_iter().chain(missing) {
-            self.published(now, change);
+            self.apply_store_change(now, change);
         }
     }
 
     /// Applies a change from a peer, removals immediately. Returns whether it is new.
-    pub fn told(&mut self, now: MonoMs, change: &TargetChange) -> bool {
+    pub fn apply_peer_change(&mut self, now: MonoMs, change: &TargetChange) -> bool {
         self.is_initialized = true;
         self.merge(now, change)
     }
 
     /// Applies all entries that a peer had at `revision`. Returns the changes that are new.
-    pub fn told_all(
+    pub fn apply_peer_snapshot(
         &mut self,
         now: MonoMs,
         revision: u64,
@@ -197,7 +201,7 @@
 
     /// Records that another target answers at the address of an entry, as observed here or by a peer.
     /// Returns whether that is new. A later entry under the same name is valid again.
-    pub fn displaced(&mut self, takeover: &Displaced) -> bool {
+    pub fn apply_takeover(&mut self, takeover: &AddressTakeover) -> bool {
         let known = self.takeovers.entry(takeover.name.clone()).or_default();
         if *known >= takeover.revision {
             return false;
@@ -209,10 +213,10 @@
 
     /// Returns the report that another target answers at the address of a run; `None` if the run isn't
     /// published.
-    pub fn displacement(&self, run: &str) -> Option<Displaced> {
+    pub fn takeover_of(&self, run: &str) -> Option<AddressTakeover> {
         let name = self.runs.get(run)?;
         let revision = self.by_name.get(name)?.revision;
-        Some(Displaced {
+        Some(AddressTakeover {
             name: name.clone(),
             revision,
         })
@@ -222,7 +226,7 @@
     ///
     /// The run gets no requests any more, whatever is published: the store may be unavailable, and its entry
     /// is older than the announcement. The announcement may arrive before the entry.
-    pub fn leaves(&mut self, now: MonoMs, run: &TargetId) -> bool {
+    pub fn record_leaving(&mut self, now: MonoMs, run: &TargetId) -> bool {
         self.leaving.insert(run.clone(), now).is_none()
     }
 
@@ -260,7 +264,7 @@
 
     /// Applies unconfirmed removals once `LAPSE_GRACE_MS` have passed since the store's return, and evicts
     /// expired records. Returns the names of the removed targets.
-    pub fn settle(&mut self, now: MonoMs) -> Vec<TargetName> {
+    pub fn confirm_removals(&mut self, now: MonoMs) -> Vec<TargetName> {
         let is_grace_over = !self.store_silent
             && self
                 .store_back_at
@@ -316,7 +320,7 @@
     }
 
     /// Returns whether the store failed to answer the last call.
-    pub fn lost_store(&self) -> bool {
+    pub fn is_store_lost(&self) -> bool {
         self.store_silent
     }
 
@@ -353,13 +357,13 @@
 
     /// Returns `revision`, or that before the first unconfirmed removal if it is lower: all changes up to
     /// there have taken effect.
-    pub fn settled_up_to(&self, revision: u64) -> u64 {
+    pub fn confirmed_revision(&self, revision: u64) -> u64 {
         let first_unconfirmed = self.unconfirmed.values().min();
         first_unconfirmed.map_or(revision, |first| revision.min(first.saturating_sub(1)))
     }
 
     /// Returns whether [`Self::changes_after`] a revision includes all removals since then.
-    pub fn remembers_since(&self, revision: u64) -> bool {
+    pub fn has_removals_since(&self, revision: u64) -> bool {
         revision >= self.complete_since
     }
 
