--- a/crates/serving/src/engines/engine_load.rs
+++ b/crates/serving/src/engines/engine_load.rs
@@ -285,7 +285,7 @@
     }
 
     /// Removes the parts and the stream of a prompt.
-    pub fn drop_job(&mut self, job: JobId) {
+    pub fn remove_job(&mut self, job: JobId) {
         self.parts.retain(|part| part.job != job);
         self.streams.retain(|stream| stream.job != job);
     }
--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -132,7 +132,7 @@
             });
         }
         for helper in engines {
-            self.engine(now, spec, helper).drop_job(id);
+            self.engine(now, spec, helper).remove_job(id);
         }
     }
 
@@ -195,7 +195,7 @@
             let Some(engine) = self.engines.get_mut(engine) else {
                 continue;
             };
-            engine.drop_job(id);
+            engine.remove_job(id);
             engine.helping = engine.helping.saturating_sub(usize::from(index > 0));
             let tokens = memory_tokens(&job.placed, index);
             engine.memory_tokens = engine.memory_tokens.saturating_sub(tokens);
@@ -203,7 +203,7 @@
     }
 
     /// Removes the prompts of a run of an instance, except those in `keep`.
-    pub fn drop_run(&mut self, run: u64, keep: &[JobId]) {
+    pub fn remove_run(&mut self, run: u64, keep: &[JobId]) {
         let removed: Vec<JobId> = self
             .jobs
             .keys()
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -168,7 +168,7 @@
         self.targets.confirm_removals(now);
         self.notice_behind(now);
         for run in self.members.silent_runs(now) {
-            self.engines.drop_run(run, &[]);
+            self.engines.remove_run(run, &[]);
         }
         self.members.forget_old(now);
         self.crashes.forget_old(now);
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -178,7 +178,7 @@
         }
         if frame.is_snapshot {
             let kept: Vec<JobId> = frame.placed.iter().map(|placed| placed.job).collect();
-            self.engines.drop_run(from, &kept);
+            self.engines.remove_run(from, &kept);
         }
         if !frame.placed.is_empty() {
             self.heard_at = Some(now);
@@ -214,7 +214,7 @@
     fn take_member(&mut self, now: MonoMs, member: Member) {
         let is_news = self.members.is_news(&member);
         if let Some(former) = self.members.heard(now, member) {
-            self.engines.drop_run(former, &[]);
+            self.engines.remove_run(former, &[]);
         }
         if is_news {
             self.is_roster_due = true;
@@ -240,7 +240,7 @@
         };
         let own = self.own.peer_address;
         for former in self.members.roster(now, own, from, roster) {
-            self.engines.drop_run(former, &[]);
+            self.engines.remove_run(former, &[]);
         }
         self.rank(now);
     }
--- a/crates/serving/src/targets/target_registry.rs
+++ b/crates/serving/src/targets/target_registry.rs
@@ -11,7 +11,7 @@
 
 /// Time after the store's return for which removals stay unconfirmed, in ms. Live targets whose entries
 /// expired during the outage publish them again within about two seconds, as the operators promise.
-const LAPSE_GRACE_MS: u64 = 2_300;
+const REMOVAL_GRACE_MS: u64 = 2_300;
 /// Time for which removals are kept, in ms: well over the time for which any peer may still send the
 /// removed entry.
 const REMOVAL_RETENTION_MS: u64 = 120_000;
@@ -33,7 +33,7 @@
     pub is_unreadable: bool,
 }
 
-/// Reports that another target answers at the address of an entry.
+/// A report that another target answers at the address of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AddressTakeover {
     /// Name under which the entry is published.
@@ -63,10 +63,10 @@
     /// Runs that announced that they leave, and when this was received.
     leaving: HashMap<TargetId, MonoMs>,
     owners: AddressOwners,
-    store_silent: bool,
-    store_back_at: Option<MonoMs>,
+    store_lost: bool,
+    store_regained_at: Option<MonoMs>,
     is_initialized: bool,
-    newest: u64,
+    newest_revision: u64,
     /// Revision since which all removals are known.
     complete_since: u64,
 }
@@ -75,14 +75,14 @@
     /// Records that the store didn't answer. Entries that it removes until shortly after its return may have
     /// expired only because targets couldn't reach it either.
     pub fn store_failed(&mut self) {
-        self.store_silent = true;
+        self.store_lost = true;
     }
 
     /// Records that the store answered.
     pub fn store_answers(&mut self, now: MonoMs) {
-        if self.store_silent {
-            self.store_silent = false;
-            self.store_back_at = Some(now);
+        if self.store_lost {
+            self.store_lost = false;
+            self.store_regained_at = Some(now);
         }
     }
 
@@ -95,17 +95,17 @@
     ///
     /// Guards against entries that expire while the store is unavailable: their targets are alive and
     /// publish them again soon after. Such a removal stays unconfirmed and takes effect only if the entry is
-    /// still missing after `LAPSE_GRACE_MS`.
+    /// still missing after `REMOVAL_GRACE_MS`.
     pub fn apply_store_change(
         &mut self,
         now: MonoMs,
         change: TargetChange,
     ) -> Option<TargetChange> {
         self.is_initialized = true;
-        let was_store_lost = self.store_silent
+        let was_store_lost = self.store_lost
             || self
-                .store_back_at
-                .is_some_and(|back| now.since(back) < LAPSE_GRACE_MS);
+                .store_regained_at
+                .is_some_and(|regained_at| now.since(regained_at) < REMOVAL_GRACE_MS);
         let was_leaving = self
             .published_entry(&change.name)
             .is_none_or(|entry| entry.state == TargetState::Draining);
@@ -176,7 +176,7 @@
             return false;
         }
         self.unconfirmed.remove(&change.name);
-        self.newest = self.newest.max(change.revision);
+        self.newest_revision = self.newest_revision.max(change.revision);
         let known = KnownEntry {
             revision: change.revision,
             entry: change.entry.clone(),
@@ -262,22 +262,22 @@
         });
     }
 
-    /// Applies unconfirmed removals once `LAPSE_GRACE_MS` have passed since the store's return, and evicts
+    /// Applies unconfirmed removals once `REMOVAL_GRACE_MS` have passed since the store's return, and evicts
     /// expired records. Returns the names of the removed targets.
     pub fn confirm_removals(&mut self, now: MonoMs) -> Vec<TargetName> {
-        let is_grace_over = !self.store_silent
+        let is_grace_over = !self.store_lost
             && self
-                .store_back_at
-                .is_none_or(|back| now.since(back) >= LAPSE_GRACE_MS);
+                .store_regained_at
+                .is_none_or(|regained_at| now.since(regained_at) >= REMOVAL_GRACE_MS);
         self.evict_removals(now);
         let runs = &self.runs;
         self.leaving.retain(|run, received_at| {
             runs.contains_key(run) || now.since(*received_at) < REMOVAL_RETENTION_MS
         });
-        let (by_name, newest) = (&self.by_name, self.newest);
+        let (by_name, newest_revision) = (&self.by_name, self.newest_revision);
         // A takeover may be reported before the entry itself arrives.
         self.takeovers
-            .retain(|name, revision| by_name.contains_key(name) || *revision > newest);
+            .retain(|name, revision| by_name.contains_key(name) || *revision > newest_revision);
         if !is_grace_over || self.unconfirmed.is_empty() {
             return Vec::new();
         }
@@ -321,7 +321,7 @@
 
     /// Returns whether the store failed to answer the last call.
     pub fn is_store_lost(&self) -> bool {
-        self.store_silent
+        self.store_lost
     }
 
     /// Returns all targets that take requests, sorted by name.
@@ -352,7 +352,7 @@
 
     /// Returns the revision of the newest known change.
     pub fn revision(&self) -> u64 {
-        self.newest
+        self.newest_revision
     }
 
     /// Returns `revision`, or that before the first unconfirmed removal if it is lower: all changes up to
