--- /dev/null
+++ b/crates/serving/src/targets/call_loads.rs
@@ -0,0 +1,109 @@
+use {
+    super::{FailureShare, TargetEntry},
+    crate::names::TargetId,
+    std::collections::HashMap,
+    whinlatch_core::MonoMs,
+};
+
+/// Weight of the newest answer in the moving average of answer times.
+const NEWEST_WEIGHT: f64 = 0.2;
+/// Answer time that is assumed for a target that hasn't answered yet, in ms: that of a small service call.
+const ASSUMED_ANSWER_MS: f64 = 30.0;
+/// Time for which a target is avoided after a failed connection, in ms: about the time that a crashed
+/// target takes to restart or to be removed from the store.
+const UNREACHABLE_TTL_MS: u64 = 1_500;
+/// Factor by which the failure share raises a target's cost: at one failure in two, a target counts as
+/// eleven times as slow.
+const FAILURE_WEIGHT: f64 = 20.0;
+
+#[derive(Debug, Default, Clone, Copy)]
+struct CallLoad {
+    in_flight: u32,
+    answer_ms: Option<f64>,
+    failures: FailureShare,
+    unreachable_until: MonoMs,
+}
+
+/// Requests in flight, answer times and failures per target of plain services, as observed by this instance.
+#[derive(Debug, Default)]
+pub struct CallLoads {
+    by_target: HashMap<TargetId, CallLoad>,
+}
+
+impl CallLoads {
+    /// Returns the target with the lowest expected answer time, raised by a random 0 to 20 % so that equal
+    /// targets share the calls. Targets in `tried` are excluded, unreachable ones are a last resort.
+    pub fn choose<'a>(
+        &self,
+        now: MonoMs,
+        candidates: impl Iterator<Item = &'a TargetEntry>,
+        tried: &[TargetId],
+        rng: &mut fastrand::Rng,
+    ) -> Option<&'a TargetEntry> {
+        candidates
+            .filter(|entry| !tried.contains(&entry.id))
+            .map(|entry| (self.cost(now, entry) * (1.0 + 0.2 * rng.f64()), entry))
+            .min_by(|left, right| left.0.total_cmp(&right.0))
+            .map(|(_, entry)| entry)
+    }
+
+    fn cost(&self, now: MonoMs, entry: &TargetEntry) -> f64 {
+        let load = self.by_target.get(&entry.id).copied().unwrap_or_default();
+        let answer_ms = load.answer_ms.unwrap_or(ASSUMED_ANSWER_MS);
+        let utilization = f64::from(load.in_flight) / f64::from(entry.slots.max(1));
+        let failure_share = load.failures.at(now);
+        let unreachable_cost = if load.unreachable_until > now {
+            1e6
+        } else {
+            0.0
+        };
+        answer_ms * (1.0 + utilization) * (1.0 + FAILURE_WEIGHT * failure_share) + unreachable_cost
+    }
+
+    /// Returns whether a connection to a target failed within the last `UNREACHABLE_TTL_MS`.
+    pub fn is_unreachable(&self, now: MonoMs, target: &str) -> bool {
+        self.by_target
+            .get(target)
+            .is_some_and(|load| load.unreachable_until > now)
+    }
+
+    /// Counts a request as in flight.
+    pub fn record_sent(&mut self, target: &TargetId) {
+        self.by_target.entry(target.clone()).or_default().in_flight += 1;
+    }
+
+    /// Uncounts a request that was recorded as sent but never was.
+    pub fn record_withdrawn(&mut self, target: &str) {
+        if let Some(load) = self.by_target.get_mut(target) {
+            load.in_flight = load.in_flight.saturating_sub(1);
+        }
+    }
+
+    /// Records the end of a request; `failed` if the target didn't serve it. Only answers that didn't fail
+    /// count towards the answer time.
+    pub fn record_ended(&mut self, now: MonoMs, target: &str, took_ms: f64, failed: bool) {
+        let Some(load) = self.by_target.get_mut(target) else {
+            return;
+        };
+        load.in_flight = load.in_flight.saturating_sub(1);
+        load.failures.record(now, failed);
+        if !failed {
+            let mean_ms = load.answer_ms.unwrap_or(took_ms);
+            load.answer_ms = Some(mean_ms + NEWEST_WEIGHT * (took_ms - mean_ms));
+        }
+    }
+
+    /// Records a failed connection to a target. Returns false if the target already counted as unreachable.
+    pub fn record_unreachable(&mut self, now: MonoMs, target: &TargetId) -> bool {
+        let load = self.by_target.entry(target.clone()).or_default();
+        let is_news = load.unreachable_until <= now;
+        load.unreachable_until = now + UNREACHABLE_TTL_MS;
+        is_news
+    }
+
+    /// Evicts targets that aren't published any more, except those with requests in flight.
+    pub fn retain(&mut self, is_published: impl Fn(&str) -> bool) {
+        self.by_target
+            .retain(|id, load| load.in_flight > 0 || is_published(id));
+    }
+}
--- /dev/null
+++ b/crates/serving/src/targets/target_registry.rs
@@ -0,0 +1,407 @@
+use {
+    super::{AddressClaim, AddressOwners, TargetEntry, TargetState},
+    crate::names::{TargetId, TargetName},
+    serde::{Deserialize, Serialize},
+    std::{
+        collections::{BTreeMap, HashMap, HashSet},
+        net::SocketAddr,
+    },
+    whinlatch_core::MonoMs,
+};
+
+/// Time after the store's return for which removals stay unconfirmed, in ms. Live targets whose entries
+/// expired during the outage publish them again within about two seconds, as the operators promise.
+const REMOVAL_GRACE_MS: u64 = 2_300;
+/// Time for which removals are kept, in ms: well over the time for which any peer may still send the
+/// removed entry.
+const REMOVAL_RETENTION_MS: u64 = 120_000;
+
+/// A change of an entry at a revision of the store. The higher revision wins, so changes may arrive in any
+/// order and more than once.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct TargetChange {
+    /// Name under which the target is published.
+    #[serde(rename = "id")]
+    pub name: TargetName,
+    /// Revision of the store at which the entry changed.
+    pub revision: u64,
+    /// The new entry; `None` if it was removed or is unreadable.
+    pub entry: Option<TargetEntry>,
+    /// Whether the store has a value under this name that can't be read as a target. Unlike a removal, this
+    /// takes effect immediately even after an outage of the store.
+    #[serde(default)]
+    pub is_unreadable: bool,
+}
+
+/// A report that another target answers at the address of an entry.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct AddressTakeover {
+    /// Name under which the entry is published.
+    pub name: TargetName,
+    /// Revision of the entry. A later entry under the same name is not affected.
+    pub revision: u64,
+}
+
+#[derive(Debug)]
+struct KnownEntry {
+    revision: u64,
+    entry: Option<TargetEntry>,
+    removed_at: MonoMs,
+}
+
+/// The published targets that this instance knows from the store and from peers.
+#[derive(Debug, Default)]
+pub struct TargetRegistry {
+    /// Sorted by name, so that a choice among equal targets is deterministic. Includes recent removals.
+    by_name: BTreeMap<TargetName, KnownEntry>,
+    /// Names of the runs that are published.
+    runs: HashMap<TargetId, TargetName>,
+    /// Removals that may be due to an outage of the store, and their revisions.
+    unconfirmed: HashMap<TargetName, u64>,
+    /// Revisions of the newest entries whose address another target has taken over.
+    takeovers: HashMap<TargetName, u64>,
+    /// Runs that announced that they leave, and when this was received.
+    leaving: HashMap<TargetId, MonoMs>,
+    owners: AddressOwners,
+    store_lost: bool,
+    store_regained_at: Option<MonoMs>,
+    is_initialized: bool,
+    newest_revision: u64,
+    /// Revision since which all removals are known.
+    complete_since: u64,
+}
+
+impl TargetRegistry {
+    /// Records that the store didn't answer. Entries that it removes until shortly after its return may have
+    /// expired only because targets couldn't reach it either.
+    pub fn store_failed(&mut self) {
+        self.store_lost = true;
+    }
+
+    /// Records that the store answered.
+    pub fn store_answers(&mut self, now: MonoMs) {
+        if self.store_lost {
+            self.store_lost = false;
+            self.store_regained_at = Some(now);
+        }
+    }
+
+    /// Returns whether any targets were received from the store or a peer.
+    pub fn is_known(&self) -> bool {
+        self.is_initialized
+    }
+
+    /// Applies a change from the store. Returns it if it is new and takes effect.
+    ///
+    /// Guards against entries that expire while the store is unavailable: their targets are alive and
+    /// publish them again soon after. Such a removal stays unconfirmed and takes effect only if the entry is
+    /// still missing after `REMOVAL_GRACE_MS`.
+    pub fn apply_store_change(
+        &mut self,
+        now: MonoMs,
+        change: TargetChange,
+    ) -> Option<TargetChange> {
+        self.is_initialized = true;
+        let was_store_lost = self.store_lost
+            || self
+                .store_regained_at
+                .is_some_and(|regained_at| now.since(regained_at) < REMOVAL_GRACE_MS);
+        let was_leaving = self
+            .published_entry(&change.name)
+            .is_none_or(|entry| entry.state == TargetState::Draining);
+        let is_removal = change.entry.is_none() && !change.is_unreadable;
+        if is_removal && was_store_lost && !was_leaving {
+            self.unconfirmed
+                .insert(change.name.clone(), change.revision);
+            self.recompute_owner_for(&change.name);
+            return None;
+        }
+        self.merge(now, &change).then_some(change)
+    }
+
+    /// Applies all entries of the store at `revision`. Known entries that are missing from it are removed.
+    pub fn apply_store_snapshot(&mut self, now: MonoMs, revision: u64, changes: Vec<TargetChange>) {
+        let missing = self.missing_from(&changes, revision);
+        self.mark_complete_at(revision);
+        for change in changes.into_iter().chain(missing) {
+            self.apply_store_change(now, change);
+        }
+    }
+
+    /// Applies a change from a peer, removals immediately. Returns whether it is new.
+    pub fn apply_peer_change(&mut self, now: MonoMs, change: &TargetChange) -> bool {
+        self.is_initialized = true;
+        self.merge(now, change)
+    }
+
+    /// Applies all entries that a peer had at `revision`. Returns the changes that are new.
+    pub fn apply_peer_snapshot(
+        &mut self,
+        now: MonoMs,
+        revision: u64,
+        changes: Vec<TargetChange>,
+    ) -> Vec<TargetChange> {
+        let missing = self.missing_from(&changes, revision);
+        self.mark_complete_at(revision);
+        changes
+            .into_iter()
+            .chain(missing)
+            .filter(|change| self.merge(now, change))
+            .collect()
+    }
+
+    /// Returns removals of the known entries that a complete list at `revision` doesn't contain.
+    fn missing_from(&self, listed: &[TargetChange], revision: u64) -> Vec<TargetChange> {
+        let listed: HashSet<&TargetName> = listed.iter().map(|change| &change.name).collect();
+        self.by_name
+            .iter()
+            .filter(|(name, known)| {
+                known.entry.is_some() && known.revision <= revision && !listed.contains(name)
+            })
+            .map(|(name, _)| removal(name, revision))
+            .collect()
+    }
+
+    /// Records that all entries at `revision` are known. Removals before the first such list are not.
+    fn mark_complete_at(&mut self, revision: u64) {
+        if !self.is_initialized {
+            self.complete_since = self.complete_since.max(revision);
+        }
+        self.is_initialized = true;
+    }
+
+    fn merge(&mut self, now: MonoMs, change: &TargetChange) -> bool {
+        let known = self.by_name.get(&change.name);
+        if known.is_some_and(|known| known.revision >= change.revision) {
+            return false;
+        }
+        self.unconfirmed.remove(&change.name);
+        self.newest_revision = self.newest_revision.max(change.revision);
+        let known = KnownEntry {
+            revision: change.revision,
+            entry: change.entry.clone(),
+            removed_at: now,
+        };
+        let former = self.by_name.insert(change.name.clone(), known);
+        if let Some(former) = former.and_then(|known| known.entry) {
+            self.runs.remove(&former.id);
+            if change.entry.is_none() {
+                self.leaving.remove(&former.id);
+            }
+            self.owners.remove(former.address, &change.name);
+            self.recompute_owner(former.address);
+        }
+        if let Some(entry) = &change.entry {
+            self.runs.insert(entry.id.clone(), change.name.clone());
+            self.owners.add(entry.address, &change.name);
+            self.recompute_owner(entry.address);
+        }
+        true
+    }
+
+    /// Records that another target answers at the address of an entry, as observed here or by a peer.
+    /// Returns whether that is new. A later entry under the same name is valid again.
+    pub fn apply_takeover(&mut self, takeover: &AddressTakeover) -> bool {
+        let known = self.takeovers.entry(takeover.name.clone()).or_default();
+        if *known >= takeover.revision {
+            return false;
+        }
+        *known = takeover.revision;
+        self.recompute_owner_for(&takeover.name);
+        true
+    }
+
+    /// Returns the report that another target answers at the address of a run; `None` if the run isn't
+    /// published.
+    pub fn takeover_of(&self, run: &str) -> Option<AddressTakeover> {
+        let name = self.runs.get(run)?;
+        let revision = self.by_name.get(name)?.revision;
+        Some(AddressTakeover {
+            name: name.clone(),
+            revision,
+        })
+    }
+
+    /// Records that a run announced that it leaves, here or to a peer. Returns whether that is new.
+    ///
+    /// The run gets no requests any more, whatever is published: the store may be unavailable, and its entry
+    /// is older than the announcement. The announcement may arrive before the entry.
+    pub fn record_leaving(&mut self, now: MonoMs, run: &TargetId) -> bool {
+        self.leaving.insert(run.clone(), now).is_none()
+    }
+
+    /// Returns the runs that announced that they leave, for a peer that has just linked.
+    pub fn leaving(&self) -> Vec<TargetId> {
+        self.leaving.keys().cloned().collect()
+    }
+
+    fn recompute_owner_for(&mut self, name: &TargetName) {
+        if let Some(address) = self.published_entry(name).map(|entry| entry.address) {
+            self.recompute_owner(address);
+        }
+    }
+
+    /// Recomputes which entry owns an address.
+    fn recompute_owner(&mut self, address: SocketAddr) {
+        let Self {
+            by_name,
+            takeovers,
+            unconfirmed,
+            owners,
+            ..
+        } = self;
+        owners.recompute(address, |name| {
+            let known = by_name.get(name)?;
+            let is_taken_over = takeovers.get(name).is_some_and(|at| *at >= known.revision);
+            let entry = known.entry.as_ref().filter(|_entry| !is_taken_over)?;
+            Some(AddressClaim {
+                entry,
+                revision: known.revision,
+                is_live: !unconfirmed.contains_key(name),
+            })
+        });
+    }
+
+    /// Applies unconfirmed removals once `REMOVAL_GRACE_MS` have passed since the store's return, and evicts
+    /// expired records. Returns the names of the removed targets.
+    pub fn confirm_removals(&mut self, now: MonoMs) -> Vec<TargetName> {
+        let is_grace_over = !self.store_lost
+            && self
+                .store_regained_at
+                .is_none_or(|regained_at| now.since(regained_at) >= REMOVAL_GRACE_MS);
+        self.evict_removals(now);
+        let runs = &self.runs;
+        self.leaving.retain(|run, received_at| {
+            runs.contains_key(run) || now.since(*received_at) < REMOVAL_RETENTION_MS
+        });
+        let (by_name, newest_revision) = (&self.by_name, self.newest_revision);
+        // A takeover may be reported before the entry itself arrives.
+        self.takeovers
+            .retain(|name, revision| by_name.contains_key(name) || *revision > newest_revision);
+        if !is_grace_over || self.unconfirmed.is_empty() {
+            return Vec::new();
+        }
+        let unconfirmed = std::mem::take(&mut self.unconfirmed);
+        unconfirmed
+            .into_iter()
+            .map(|(name, revision)| removal(&name, revision))
+            .filter(|change| self.merge(now, change))
+            .map(|change| change.name)
+            .collect()
+    }
+
+    fn evict_removals(&mut self, now: MonoMs) {
+        let complete_since = &mut self.complete_since;
+        self.by_name.retain(|_, known| {
+            let is_kept =
+                known.entry.is_some() || now.since(known.removed_at) < REMOVAL_RETENTION_MS;
+            if !is_kept {
+                *complete_since = known.revision.max(*complete_since);
+            }
+            is_kept
+        });
+    }
+
+    /// Returns the entry of a run if it is published.
+    pub fn entry(&self, run: &str) -> Option<&TargetEntry> {
+        self.published_entry(self.runs.get(run)?)
+    }
+
+    /// Returns the entry that is published under a name.
+    pub fn published_entry(&self, name: &str) -> Option<&TargetEntry> {
+        self.by_name
+            .get(name)
+            .and_then(|known| known.entry.as_ref())
+    }
+
+    /// Returns the entry that takes requests at an address.
+    pub fn ready_at(&self, address: SocketAddr) -> Option<&TargetEntry> {
+        self.ready_entry(self.owners.owner(address)?)
+    }
+
+    /// Returns whether the store failed to answer the last call.
+    pub fn is_store_lost(&self) -> bool {
+        self.store_lost
+    }
+
+    /// Returns all targets that take requests, sorted by name.
+    pub fn all_ready(&self) -> impl Iterator<Item = &TargetEntry> {
+        self.by_name
+            .values()
+            .filter_map(|known| known.entry.as_ref())
+            .filter(|entry| self.takes_requests(entry))
+    }
+
+    fn takes_requests(&self, entry: &TargetEntry) -> bool {
+        entry.state == TargetState::Ready
+            && self.owners.is_owner(entry)
+            && !self.leaving.contains_key(&entry.id)
+    }
+
+    /// Returns the run ids of all targets that take requests, sorted.
+    pub fn ready_names(&self) -> Vec<String> {
+        let mut ids: Vec<String> = self.all_ready().map(|entry| entry.id.to_string()).collect();
+        ids.sort_unstable();
+        ids
+    }
+
+    /// Returns the entry of a run if it is published and takes requests.
+    pub fn ready_entry(&self, id: &str) -> Option<&TargetEntry> {
+        self.entry(id).filter(|entry| self.takes_requests(entry))
+    }
+
+    /// Returns the revision of the newest known change.
+    pub fn revision(&self) -> u64 {
+        self.newest_revision
+    }
+
+    /// Returns `revision`, or that before the first unconfirmed removal if it is lower: all changes up to
+    /// there have taken effect.
+    pub fn confirmed_revision(&self, revision: u64) -> u64 {
+        let first_unconfirmed = self.unconfirmed.values().min();
+        first_unconfirmed.map_or(revision, |first| revision.min(first.saturating_sub(1)))
+    }
+
+    /// Returns whether [`Self::changes_after`] a revision includes all removals since then.
+    pub fn has_removals_since(&self, revision: u64) -> bool {
+        revision >= self.complete_since
+    }
+
+    /// Returns the known changes after a revision.
+    pub fn changes_after(&self, revision: u64) -> Vec<TargetChange> {
+        self.changes(|known| known.revision > revision)
+    }
+
+    /// Returns all published entries, as changes.
+    pub fn all(&self) -> Vec<TargetChange> {
+        self.changes(|known| known.entry.is_some())
+    }
+
+    fn changes(&self, is_included: impl Fn(&KnownEntry) -> bool) -> Vec<TargetChange> {
+        self.by_name
+            .iter()
+            .filter(|(_, known)| is_included(known))
+            .map(|(name, known)| TargetChange {
+                name: name.clone(),
+                revision: known.revision,
+                entry: known.entry.clone(),
+                is_unreadable: false,
+            })
+            .collect()
+    }
+
+    /// Returns the targets of a service that take requests, sorted by name.
+    pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a TargetEntry> {
+        self.all_ready()
+            .filter(move |entry| &*entry.service == service)
+    }
+}
+
+fn removal(name: &TargetName, revision: u64) -> TargetChange {
+    TargetChange {
+        name: name.clone(),
+        revision,
+        entry: None,
+        is_unreadable: false,
+    }
+}
