--- a/crates/daemon/src/entry/links/incoming.rs
+++ b/crates/daemon/src/entry/links/incoming.rs
@@ -19,8 +19,8 @@
     whinlatch_platform::read_configuration,
     whinlatch_serving::{
         Serving,
-        fleet::{Frame, PlacementAnswer, PlacementAsk},
-        quotas::PermitAsk,
+        fleet::{Frame, PlacementRequest, PlacementResponse},
+        quotas::PermitRequest,
     },
 };
 
@@ -118,7 +118,7 @@
 }
 
 /// The answer to an ask for a permit, and where it goes.
-fn grant(serving: &mut Serving, now: MonoMs, ask: &PermitAsk) -> Option<(SocketAddr, Frame)> {
+fn grant(serving: &mut Serving, now: MonoMs, ask: &PermitRequest) -> Option<(SocketAddr, Frame)> {
     let permit_answer = serving.grant(now, ask);
     let frame = Frame {
         permit_answer,
@@ -127,10 +127,10 @@
     Some((ask.reply_to?, frame))
 }
 
-fn answer(serving: &mut Serving, now: MonoMs, ask: &PlacementAsk) -> Frame {
+fn answer(serving: &mut Serving, now: MonoMs, ask: &PlacementRequest) -> Frame {
     let placement = serving.choose_engines(now, ask.job, ask.group, &ask.prompt);
     Frame {
-        answer: Some(PlacementAnswer {
+        answer: Some(PlacementResponse {
             job: ask.job,
             placement,
         }),
--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -10,7 +10,7 @@
     whinlatch_core::MonoMs,
     whinlatch_serving::{
         Recipients, StoreDuty, WantedLinks,
-        fleet::{Beat, EngineGroup, Frame},
+        fleet::{EngineGroup, Frame, HeartbeatFrame},
     },
 };
 
@@ -222,7 +222,7 @@
         let follows = self.state.serving().follows(now);
         let mut own: Vec<SocketAddr> = self.wanted.own.iter().copied().collect();
         own.retain(|address| follows.iter().all(|(relay, _)| relay != address));
-        let beat = Beat {
+        let beat = HeartbeatFrame {
             asks_for_link: true,
             ..beat
         };
@@ -230,7 +230,7 @@
         self.state.send(&own, &heartbeat);
         for (relay, follow) in follows {
             let follows = Some(follow);
-            heartbeat.beat = Some(Beat { follows, ..beat });
+            heartbeat.beat = Some(HeartbeatFrame { follows, ..beat });
             self.state.send(&[relay], &heartbeat);
         }
     }
--- a/crates/daemon/src/entry/links/peer_links.rs
+++ b/crates/daemon/src/entry/links/peer_links.rs
@@ -11,8 +11,8 @@
         sync::{Mutex, MutexGuard, PoisonError},
     },
     whinlatch_serving::{
-        fleet::{Frame, JobId, PlacementAnswer},
-        quotas::PermitAnswer,
+        fleet::{Frame, JobId, PlacementResponse},
+        quotas::PermitResponse,
     },
 };
 
@@ -24,9 +24,9 @@
 pub struct PeerLinks {
     links: Mutex<HashMap<SocketAddr, Sender<Bytes>>>,
     /// Placements that peers were asked for.
-    pub placements: Awaiting<JobId, PlacementAnswer>,
+    pub placements: Awaiting<JobId, PlacementResponse>,
     /// Permits that peers were asked for, by the number of the ask.
-    pub permits: Awaiting<u64, PermitAnswer>,
+    pub permits: Awaiting<u64, PermitResponse>,
 }
 
 impl PeerLinks {
--- a/crates/daemon/src/entry/permits.rs
+++ b/crates/daemon/src/entry/permits.rs
@@ -7,7 +7,7 @@
     whinlatch_serving::{
         fleet::Frame,
         names::TargetId,
-        quotas::{Permission, PermitAnswer, PermitAsk},
+        quotas::{Permission, PermitRequest, PermitResponse},
     },
 };
 
@@ -49,8 +49,8 @@
 async fn ask_holder(
     state: &EntryState,
     holder: SocketAddr,
-    ask: &PermitAsk,
-) -> Option<PermitAnswer> {
+    ask: &PermitRequest,
+) -> Option<PermitResponse> {
     let awaited = state.links.permits.begin(ask.number);
     let frame = Frame {
         permit_ask: Some(ask.clone()),
--- a/crates/daemon/src/entry/placing.rs
+++ b/crates/daemon/src/entry/placing.rs
@@ -6,7 +6,7 @@
     std::net::SocketAddr,
     whinlatch_serving::{
         PromptAsk, PromptPlace, Refusal,
-        fleet::{EngineGroup, Frame, JobId, Placement, PlacementAsk},
+        fleet::{EngineGroup, Frame, JobId, Placement, PlacementRequest},
     },
 };
 
@@ -102,7 +102,7 @@
     let awaited = state.links.placements.begin(job);
     state.serving().asked_in(job, group);
     let frame = Frame {
-        ask: Some(PlacementAsk {
+        ask: Some(PlacementRequest {
             job,
             reply_to: state.settings.peer_address,
             group,
--- a/crates/daemon/src/entry/routing.rs
+++ b/crates/daemon/src/entry/routing.rs
@@ -8,7 +8,7 @@
     },
     std::sync::Arc,
     whinlatch_platform::CallerHead,
-    whinlatch_serving::catalog::Refused,
+    whinlatch_serving::catalog::RouteError,
     xxhash_rust::xxh3::Xxh3,
 };
 
@@ -84,10 +84,10 @@
     })
 }
 
-fn refusal(refused: Refused) -> Unrouted {
+fn refusal(refused: RouteError) -> Unrouted {
     let status = match refused {
-        Refused::NoRoute => 404,
-        Refused::UnknownKey => 401,
+        RouteError::NoRoute => 404,
+        RouteError::UnknownKey => 401,
     };
     Unrouted {
         status,
--- a/crates/serving/src/catalog.rs
+++ b/crates/serving/src/catalog.rs
@@ -9,9 +9,9 @@
 
 pub use {
     account::Account,
-    configuration::{Configuration, Refused},
+    configuration::{Configuration, RouteError},
     engine_spec::EngineSpec,
     limits::Limits,
-    route::{Repeat, Route, ServiceShare},
+    route::{RetryPolicy, Route, ServiceShare},
     service::Service,
 };
--- a/crates/serving/src/catalog/configuration.rs
+++ b/crates/serving/src/catalog/configuration.rs
@@ -7,7 +7,7 @@
 
 /// Reason for which the configuration rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum RouteError {
     /// No route has this host and path.
     #[error("no route matches the request: check host and path")]
     NoRoute,
@@ -70,8 +70,8 @@
     /// and a query after the path are ignored. Hosts are compared without regard to case.
     ///
     /// # Errors
-    /// [`Refused::NoRoute`].
-    pub fn route(&self, host: &str, path: &str) -> Result<&Arc<Route>, Refused> {
+    /// [`RouteError::NoRoute`].
+    pub fn route(&self, host: &str, path: &str) -> Result<&Arc<Route>, RouteError> {
         let name = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let path = path.split('?').next().unwrap_or(path);
         self.routes
@@ -81,24 +81,24 @@
                     .iter()
                     .find(|route| path.starts_with(route.prefix.as_str()))
             })
-            .ok_or(Refused::NoRoute)
+            .ok_or(RouteError::NoRoute)
     }
 
     /// Returns the account and priority that belong to a key; `None` where the request has no valid key and
     /// needs none: the route is public, or no account is published.
     ///
     /// # Errors
-    /// [`Refused::UnknownKey`].
+    /// [`RouteError::UnknownKey`].
     pub fn account(
         &self,
         route: &Route,
         key: Option<&str>,
-    ) -> Result<Option<(&AccountName, Option<u8>)>, Refused> {
+    ) -> Result<Option<(&AccountName, Option<u8>)>, RouteError> {
         let known = key.and_then(|key| self.accounts.get(key));
         match known {
             Some((name, priority)) => Ok(Some((name, *priority))),
             None if route.public || !self.needs_keys => Ok(None),
-            None => Err(Refused::UnknownKey),
+            None => Err(RouteError::UnknownKey),
         }
     }
 
--- a/crates/serving/src/catalog/route.rs
+++ b/crates/serving/src/catalog/route.rs
@@ -2,7 +2,7 @@
 
 /// Which requests of a route may be sent again, and whether they are answered by a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Idempotent request: may run more than once.
     Safe,
     /// May run at most once.
@@ -13,7 +13,7 @@
     OnceStream,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::OnceStream)
@@ -44,7 +44,7 @@
     /// Path prefix to match; begins and ends with a slash.
     pub prefix: String,
     /// Which requests may be sent again.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// Maximum time that a request is kept, in ms.
     pub timeout_ms: u64,
     /// Time within which a response, or the first event of a stream, is on time, in ms.
--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -2,7 +2,7 @@
     super::{EngineLoad, Part, WorkRate, Writer},
     crate::{
         catalog::EngineSpec,
-        fleet::{EngineGroup, JobId, Placed},
+        fleet::{EngineGroup, JobId, PlacedPrompt},
         names::TargetId,
         placement::value_of,
     },
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     /// What was told of it.
-    pub placed: Placed,
+    pub placed: PlacedPrompt,
     /// The engines among which it was placed.
     pub group: EngineGroup,
     /// When it was sent.
@@ -69,7 +69,13 @@
     }
 
     /// Notes a prompt that was sent to engines of a group.
-    pub fn placed(&mut self, now: MonoMs, spec: &EngineSpec, group: EngineGroup, placed: Placed) {
+    pub fn placed(
+        &mut self,
+        now: MonoMs,
+        spec: &EngineSpec,
+        group: EngineGroup,
+        placed: PlacedPrompt,
+    ) {
         if self.jobs.contains_key(&placed.job) {
             return;
         }
@@ -225,7 +231,7 @@
 }
 
 /// Tokens of memory that a prompt takes at one of its engines.
-fn memory_tokens(placed: &Placed, place: usize) -> u64 {
+fn memory_tokens(placed: &PlacedPrompt, place: usize) -> u64 {
     let whole = placed.prompt_tokens + u64::from(placed.answer_tokens);
     match placed.reserved {
         None if place == 0 => whole,
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -3,19 +3,19 @@
 
 mod engine_groups;
 mod frame;
-mod known;
-mod member_book;
+mod known_member;
+mod membership;
 mod ranks;
 mod roster;
 
 pub use {
     engine_groups::{EngineGroup, EngineGroups},
     frame::{
-        Beat, Crash, EnginePace, Frame, JobId, Member, Placed, Placement, PlacementAnswer,
-        PlacementAsk, PublishedText, Reserved, Wants,
+        CatchUpRequest, Crash, EnginePace, Frame, HeartbeatFrame, JobId, Member, PlacedPrompt,
+        Placement, PlacementRequest, PlacementResponse, PublishedText, ReservedMemory,
     },
-    known::Known,
-    member_book::{MemberBook, hash},
+    known_member::KnownMember,
+    membership::{Membership, hash},
     ranks::Ranks,
     roster::Roster,
 };
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -3,8 +3,8 @@
     crate::{
         PromptAsk, Refusal, Weighed,
         names::{FailureDomain, TargetId},
-        quotas::{PermitAnswer, PermitAsk},
-        relays::{Extent, Follow, Word},
+        quotas::{PermitRequest, PermitResponse},
+        relays::{FollowRequest, KnownState, RelayStatus},
         retries::Fingerprint,
         targets::{Displaced, TargetChange, TargetLimit},
     },
@@ -51,7 +51,7 @@
 
 /// Heartbeat of an instance whose state is unchanged except for what it knows of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct HeartbeatFrame {
     /// Version of its active configuration.
     pub version: u64,
     /// Store revision of the newest change that it knows.
@@ -63,7 +63,7 @@
     pub engine_groups: u32,
     /// What the sender requests of the receiver, if that is a relay that it follows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub follows: Option<Follow>,
+    pub follows: Option<FollowRequest>,
 }
 
 impl Member {
@@ -90,7 +90,7 @@
 
 /// A prompt that was sent to engines, with the load that it is expected to cause.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct PlacedPrompt {
     /// Id of the prompt.
     pub job: JobId,
     /// The engine that answers, followed by its helpers, which read parts of the prompt.
@@ -104,7 +104,7 @@
     /// Time until the first event is late, in ms; negative if it is late already.
     pub slack_ms: i32,
     /// Memory that is reserved at some of the helpers; `None` if one engine holds the prompt.
-    pub reserved: Option<Reserved>,
+    pub reserved: Option<ReservedMemory>,
     /// Whether a little memory is reserved at the answering engine as well, so that its part of the prompt
     /// isn't read after those of prompts that arrive later.
     pub goes_first: bool,
@@ -124,14 +124,14 @@
 
 /// Memory that is reserved for a prompt which doesn't fit into the memory of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reserved {
+pub struct ReservedMemory {
     /// Number of engines that reserve memory: the first ones of the helpers.
     pub engines: usize,
     /// Memory at each of them, in tokens.
     pub tokens: u64,
 }
 
-impl Reserved {
+impl ReservedMemory {
     /// Divides an engine's memory into the part that may be reserved: a third leaves room for the prompts
     /// that the engine answers itself.
     const ENGINE_DIVISOR: u64 = 3;
@@ -162,16 +162,16 @@
 
 /// Request of an instance that lags behind its peers for what it lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wants {
+pub struct CatchUpRequest {
     /// Peer address to which the reply is sent.
     pub reply_to: SocketAddr,
     /// What the sender has already.
-    pub known: Extent,
+    pub known: KnownState,
 }
 
 /// Request to choose engines for a prompt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PlacementAsk {
+pub struct PlacementRequest {
     /// Id of the prompt.
     pub job: JobId,
     /// Peer address to which the response is sent.
@@ -184,7 +184,7 @@
 
 /// Response to a request to choose engines for a prompt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PlacementAnswer {
+pub struct PlacementResponse {
     /// Id of the prompt.
     pub job: JobId,
     /// The chosen engines, or the reason for which none were chosen.
@@ -195,7 +195,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Placement {
     /// The engines and their expected load.
-    pub placed: Placed,
+    pub placed: PlacedPrompt,
     /// Expected time from the choice to the first event, in ms.
     pub first_event_ms: f64,
     /// Inputs of the decision, for the log.
@@ -215,7 +215,7 @@
     pub peers: Vec<SocketAddr>,
     /// Heartbeat of the sender.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub beat: Option<Beat>,
+    pub beat: Option<HeartbeatFrame>,
     /// The instances from which the sender receives frames, sent by hubs.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub roster: Option<Roster>,
@@ -224,22 +224,22 @@
     pub is_snapshot: bool,
     /// Request for what the sender lacks, if it lags behind.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub wants: Option<Wants>,
+    pub wants: Option<CatchUpRequest>,
     /// Request to choose engines for a prompt.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub ask: Option<PlacementAsk>,
+    pub ask: Option<PlacementRequest>,
     /// Engines for a prompt of the receiver.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub answer: Option<PlacementAnswer>,
+    pub answer: Option<PlacementResponse>,
     /// Request for a permit, or a notice of a request that was sent without one.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub permit_ask: Option<PermitAsk>,
+    pub permit_ask: Option<PermitRequest>,
     /// Response to a permit request of the receiver.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub permit_answer: Option<PermitAnswer>,
+    pub permit_answer: Option<PermitResponse>,
     /// The sender's status as a relay, sent to its followers.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub word: Option<Word>,
+    pub word: Option<RelayStatus>,
     /// Configuration that the receiver lacks.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub configuration: Option<PublishedText>,
@@ -248,7 +248,7 @@
     pub targets: Vec<TargetChange>,
     /// Prompts that were sent to engines.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub placed: Vec<Placed>,
+    pub placed: Vec<PlacedPrompt>,
     /// Prompts whose first event has arrived.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub begun: Vec<JobId>,
--- a/crates/serving/src/fleet/known.rs
+++ b/crates/serving/src/fleet/known_member.rs
@@ -12,7 +12,7 @@
 
 /// State of another instance as this one knows it.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownMember {
     /// Newest statement of the instance itself, received directly or through peers.
     pub member: Member,
     /// Peer addresses of the instances whose rosters list it.
@@ -25,7 +25,7 @@
     link_requested_at: Option<MonoMs>,
 }
 
-impl Known {
+impl KnownMember {
     /// Returns the state of an instance from which no frame has been received yet.
     pub fn new(now: MonoMs, member: Member) -> Self {
         Self {
--- a/crates/serving/src/fleet/member_book.rs
+++ b/crates/serving/src/fleet/membership.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Beat, EngineGroup, Known, Member, Ranks, Roster},
+    super::{EngineGroup, HeartbeatFrame, KnownMember, Member, Ranks, Roster},
     std::{
         collections::{HashMap, HashSet},
         net::{IpAddr, SocketAddr},
@@ -25,8 +25,8 @@
 
 /// The other instances of the fleet, by peer address.
 #[derive(Debug, Default)]
-pub struct MemberBook {
-    known: HashMap<SocketAddr, Known>,
+pub struct Membership {
+    known: HashMap<SocketAddr, KnownMember>,
     learned_addresses: HashMap<SocketAddr, MonoMs>,
     seeds: Vec<SocketAddr>,
     announced: HashMap<SocketAddr, Member>,
@@ -34,7 +34,7 @@
     peak_size: usize,
 }
 
-impl MemberBook {
+impl Membership {
     /// Returns whether the instance is unknown or its state differs from the known one.
     pub fn is_news(&self, member: &Member) -> bool {
         let known = self.known.get(&member.peer_address);
@@ -58,7 +58,7 @@
         let former = if let Some(known) = self.known.get_mut(&address) {
             known.says(member)
         } else {
-            self.known.insert(address, Known::new(now, member));
+            self.known.insert(address, KnownMember::new(now, member));
             None
         };
         self.peak_size = self.peak_size.max(self.known.len() + 1);
@@ -89,7 +89,7 @@
                 continue;
             }
             let is_former_run =
-                |known: &Known| known.is_heard(now, 0) && known.member.run != member.run;
+                |known: &KnownMember| known.is_heard(now, 0) && known.member.run != member.run;
             if self.known.get(&address).is_some_and(is_former_run) {
                 continue;
             }
@@ -112,7 +112,7 @@
     }
 
     /// Applies a heartbeat, which leaves the rest of the instance's state unchanged.
-    pub fn beat(&mut self, now: MonoMs, address: SocketAddr, beat: Beat) {
+    pub fn beat(&mut self, now: MonoMs, address: SocketAddr, beat: HeartbeatFrame) {
         if let Some(known) = self.known.get_mut(&address) {
             known.member.version = known.member.version.max(beat.version);
             known.member.revision = known.member.revision.max(beat.revision);
--- a/crates/serving/src/placement/division.rs
+++ b/crates/serving/src/placement/division.rs
@@ -6,7 +6,7 @@
         setting::Setting,
         share::{OwnPart, Share, harm_of, share},
     },
-    crate::{fleet::Reserved, mechanism::Mechanism},
+    crate::{fleet::ReservedMemory, mechanism::Mechanism},
 };
 
 /// Most that liking an engine counts for.
@@ -123,7 +123,7 @@
 
     /// Puts those with the most free memory first. Returns whether enough of them have room for what
     /// is to be set aside.
-    fn put_holders_first(&self, reserved: Reserved, shares: &mut [Share]) -> bool {
+    fn put_holders_first(&self, reserved: ReservedMemory, shares: &mut [Share]) -> bool {
         let used = |share: &Share| self.candidates[share.place].load.memory_tokens;
         shares.sort_by_key(used);
         shares
--- a/crates/serving/src/placement/prompt_shape.rs
+++ b/crates/serving/src/placement/prompt_shape.rs
@@ -1,4 +1,4 @@
-use crate::{engines::EngineLoad, fleet::Reserved, mechanism::Without};
+use crate::{engines::EngineLoad, fleet::ReservedMemory, mechanism::Without};
 
 /// What is asked of the engines.
 #[derive(Debug, Clone, Copy)]
@@ -14,7 +14,7 @@
     /// Time after which nobody waits for its first event, in ms.
     pub patience_ms: f64,
     /// Memory to be set aside for it.
-    pub reserved: Option<Reserved>,
+    pub reserved: Option<ReservedMemory>,
     /// Share of the engines' time that was given reading of late.
     pub used: f64,
     /// Whether little is known of what other instances place.
--- a/crates/serving/src/quotas.rs
+++ b/crates/serving/src/quotas.rs
@@ -1,11 +1,11 @@
 //! Rate limits of targets: for each limited target, one instance grants permits to the whole fleet.
 
 mod permits;
-mod quota_book;
+mod quota_table;
 mod token_bucket;
 
 pub use {
-    permits::{Permission, PermitAnswer, PermitAsk},
-    quota_book::QuotaBook,
+    permits::{Permission, PermitRequest, PermitResponse},
+    quota_table::QuotaTable,
     token_bucket::TokenBucket,
 };
--- a/crates/serving/src/quotas/permits.rs
+++ b/crates/serving/src/quotas/permits.rs
@@ -16,14 +16,14 @@
         /// Peer address of the holder.
         holder: SocketAddr,
         /// Request to send to the holder.
-        ask: PermitAsk,
+        ask: PermitRequest,
     },
 }
 
 /// Request for a permit to send one request to a rate-limited target, sent to the holder of the target's
 /// quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// Number of the permit request, unique within the run of the sender.
     pub number: u64,
     /// Peer address to which the response is sent; `None` if the request is sent in any case and only counts.
@@ -34,9 +34,9 @@
     pub limit_per_s: f64,
 }
 
-/// Response to a [`PermitAsk`].
+/// Response to a [`PermitRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAnswer {
+pub struct PermitResponse {
     /// Number of the permit request.
     pub number: u64,
     /// Time after which to request a permit again, in ms; `None` if the permit is granted.
--- a/crates/serving/src/quotas/quota_book.rs
+++ b/crates/serving/src/quotas/quota_table.rs
@@ -7,12 +7,12 @@
 
 /// Buckets from which this instance grants permits, and refusals that it received itself.
 #[derive(Debug, Default)]
-pub struct QuotaBook {
+pub struct QuotaTable {
     buckets: HashMap<TargetId, TokenBucket>,
     refused_until: HashMap<TargetId, MonoMs>,
 }
 
-impl QuotaBook {
+impl QuotaTable {
     /// Returns the bucket from which permits for a target are granted; creates it if there is none.
     pub fn bucket(&mut self, now: MonoMs, target: &TargetId) -> &mut TokenBucket {
         self.buckets
--- a/crates/serving/src/relays/following.rs
+++ b/crates/serving/src/relays/followed_relays.rs
@@ -1,5 +1,5 @@
 use {
-    super::Word,
+    super::RelayStatus,
     std::{collections::HashMap, net::SocketAddr},
     whinlatch_core::MonoMs,
 };
@@ -31,13 +31,13 @@
 
 /// What this instance knows of the store through its relays.
 #[derive(Debug, Default)]
-pub struct Following {
+pub struct FollowedRelays {
     known_to: Option<u64>,
     confirmed: HashMap<SocketAddr, ConfirmedRevision>,
     excluded_until: HashMap<SocketAddr, MonoMs>,
 }
 
-impl Following {
+impl FollowedRelays {
     /// Returns the store revision up to which all changes are known, from relays or from the store itself.
     pub fn known_to(&self) -> Option<u64> {
         self.known_to
@@ -52,7 +52,7 @@
     ///
     /// They don't if an earlier update was lost, or if nothing is known yet: a part of the published
     /// entries would then be taken for all of them.
-    pub fn continues(&self, status: &Word) -> bool {
+    pub fn continues(&self, status: &RelayStatus) -> bool {
         match (status.since, self.known_to) {
             (None, _) => true,
             (Some(since), Some(known_to)) => since <= known_to,
@@ -64,7 +64,7 @@
     ///
     /// Ignores the age of a status that is older than what is known here, from a relay that lags or whose
     /// store went back to an earlier state: it doesn't confirm that the newer state still holds.
-    pub fn heard(&mut self, now: MonoMs, from: SocketAddr, status: &Word, own_version: u64) {
+    pub fn heard(&mut self, now: MonoMs, from: SocketAddr, status: &RelayStatus, own_version: u64) {
         if status.is_cut_off {
             self.pass_over(now, from);
             return;
--- a/crates/serving/src/relays/followers.rs
+++ b/crates/serving/src/relays/followers.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Extent, Follow},
+    super::{FollowRequest, KnownState},
     std::{
         collections::{BTreeMap, HashMap},
         net::SocketAddr,
@@ -17,13 +17,13 @@
 /// State that a follower has been sent and whose arrival its heartbeats are still to show.
 #[derive(Debug, Clone, Copy)]
 struct AwaitedState {
-    state: Extent,
+    state: KnownState,
     since: MonoMs,
 }
 
 #[derive(Debug)]
 struct Follower {
-    follow: Follow,
+    follow: FollowRequest,
     last_request_at: MonoMs,
     awaited: Option<AwaitedState>,
     is_new: bool,
@@ -31,15 +31,15 @@
 
 /// Recipients of a relay's next update.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Shipment {
+pub struct RelayUpdate {
     /// Followers that get the changes since `told`.
     pub changes_to: Vec<SocketAddr>,
     /// State that the last update to all followers described.
-    pub told: Extent,
+    pub told: KnownState,
     /// Followers that get only the relay's status.
     pub word_to: Vec<SocketAddr>,
     /// Followers that lack more than the latest changes, by the state that they have.
-    pub behind: BTreeMap<Extent, Vec<SocketAddr>>,
+    pub behind: BTreeMap<KnownState, Vec<SocketAddr>>,
 }
 
 /// The instances that follow this relay.
@@ -47,13 +47,13 @@
 pub struct Followers {
     by_address: HashMap<SocketAddr, Follower>,
     /// State that the last update to all followers described.
-    told: Extent,
+    told: KnownState,
     is_update_due: bool,
 }
 
 impl Followers {
     /// Applies the request that a follower sends with each heartbeat.
-    pub fn note(&mut self, now: MonoMs, address: SocketAddr, follow: Follow) {
+    pub fn note(&mut self, now: MonoMs, address: SocketAddr, follow: FollowRequest) {
         let follower = self.by_address.entry(address).or_insert(Follower {
             follow,
             last_request_at: now,
@@ -93,12 +93,12 @@
     pub fn shipment(
         &mut self,
         now: MonoMs,
-        known: Extent,
+        known: KnownState,
         is_linked: impl Fn(&SocketAddr) -> bool,
-    ) -> Shipment {
-        let mut update = Shipment {
+    ) -> RelayUpdate {
+        let mut update = RelayUpdate {
             told: self.told,
-            ..Shipment::default()
+            ..RelayUpdate::default()
         };
         let is_due = std::mem::take(&mut self.is_update_due);
         if is_due {
@@ -133,7 +133,7 @@
             .is_some_and(|awaited| self.last_request_at > awaited.since + DELIVERY_TIMEOUT_MS)
     }
 
-    fn await_state(&mut self, now: MonoMs, state: Extent) {
+    fn await_state(&mut self, now: MonoMs, state: KnownState) {
         if self.awaited.is_none() && !self.follow.known.covers(&state) {
             let since = now;
             self.awaited = Some(AwaitedState { state, since });
--- a/crates/serving/src/relays/word.rs
+++ b/crates/serving/src/relays/relay_status.rs
@@ -4,14 +4,14 @@
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Extent {
+pub struct KnownState {
     /// Store revision up to which all changes are known, 0 if nothing is known.
     pub revision: u64,
     /// Version of the active configuration.
     pub version: u64,
 }
 
-impl Extent {
+impl KnownState {
     /// Returns whether this state includes everything that the other one does.
     pub fn covers(&self, other: &Self) -> bool {
         self.revision >= other.revision && self.version >= other.version
@@ -20,9 +20,9 @@
 
 /// Request that a follower sends to a relay with each heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Follow {
+pub struct FollowRequest {
     /// What the follower knows.
-    pub known: Extent,
+    pub known: KnownState,
     /// Whether it requests each change as it comes; otherwise it gets only what it turns out to lack.
     pub wants_changes: bool,
 }
@@ -30,9 +30,9 @@
 /// Status that a relay sends to its followers whenever the store has answered it, in one frame with the
 /// changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct RelayStatus {
     /// What the relay knows.
-    pub known: Extent,
+    pub known: KnownState,
     /// Time since the store confirmed this to the relay, in ms.
     pub age_ms: u64,
     /// Revision after which the frame has all changes; `None` if the frame has all targets instead.
--- a/crates/serving/src/retries.rs
+++ b/crates/serving/src/retries.rs
@@ -1,9 +1,9 @@
 //! Retries of requests: the fleet's retry budget, and detection of requests that crash their targets.
 
-mod crash_book;
+mod crash_tracker;
 mod fleet_budget;
 
 pub use {
-    crash_book::{CrashBook, Fingerprint},
+    crash_tracker::{CrashTracker, Fingerprint},
     fleet_budget::{FleetBudget, FleetBudgetRule},
 };
--- a/crates/serving/src/retries/crash_book.rs
+++ b/crates/serving/src/retries/crash_tracker.rs
@@ -42,11 +42,11 @@
 /// target that loses power fails all requests with the same fingerprint that it has in flight. A request
 /// that any target has served is not poison, however often it failed before.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     records: HashMap<Fingerprint, CrashRecord>,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Records a failure that was seen here or reported by a peer. Returns whether it is new.
     pub fn note(&mut self, now: MonoMs, crash: &Crash) -> bool {
         let record = self
--- a/crates/serving/src/serving/asks.rs
+++ b/crates/serving/src/serving/asks.rs
@@ -1,6 +1,6 @@
 use {
     crate::{
-        fleet::{JobId, Reserved},
+        fleet::{JobId, ReservedMemory},
         names::{ServiceName, TargetId},
         retries::Fingerprint,
         targets::TargetEntry,
@@ -53,7 +53,7 @@
     /// The engines that help to read it.
     pub helpers: Vec<TargetEntry>,
     /// Memory to be set aside at the first of them before it is sent.
-    pub reserved: Option<Reserved>,
+    pub reserved: Option<ReservedMemory>,
     /// Whether a little memory is to be set aside at the engine that answers, too, so that its part
     /// isn't read behind those of prompts that come later.
     pub goes_first: bool,
--- a/crates/serving/src/serving/members.rs
+++ b/crates/serving/src/serving/members.rs
@@ -3,7 +3,7 @@
 use {
     super::Serving,
     crate::{
-        fleet::{Beat, Frame, Member},
+        fleet::{Frame, HeartbeatFrame, Member},
         targets::TargetEntry,
     },
     std::{collections::HashSet, net::SocketAddr},
@@ -97,7 +97,7 @@
     /// What a link to a peer begins with: this instance, where peers link, and whom it hears.
     pub fn greeting(&self, now: MonoMs, to: SocketAddr, asks_for_link: bool) -> Frame {
         let mut follows = self.follows(now).into_iter();
-        let beat = Beat {
+        let beat = HeartbeatFrame {
             follows: follows.find_map(|(relay, follow)| (relay == to).then_some(follow)),
             ..self.beat(asks_for_link)
         };
@@ -154,8 +154,8 @@
         }
     }
 
-    fn beat(&self, asks_for_link: bool) -> Beat {
-        Beat {
+    fn beat(&self, asks_for_link: bool) -> HeartbeatFrame {
+        HeartbeatFrame {
             version: self.version(),
             revision: self.targets.revision(),
             asks_for_link,
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -4,10 +4,13 @@
     super::Serving,
     crate::{
         catalog::{Configuration, EngineSpec},
-        fleet::{Beat, Crash, EnginePace, Frame, JobId, Member, Placed, Roster, Wants},
+        fleet::{
+            CatchUpRequest, Crash, EnginePace, Frame, HeartbeatFrame, JobId, Member, PlacedPrompt,
+            Roster,
+        },
         mechanism::Mechanism,
         names::TargetId,
-        relays::Extent,
+        relays::KnownState,
         retries::Fingerprint,
         targets::{Displaced, TargetChange, TargetEntry, TargetLimit},
     },
@@ -25,7 +28,7 @@
 /// What a peer knew first.
 #[derive(Debug, Clone, Copy)]
 pub struct Behind {
-    extent: Extent,
+    extent: KnownState,
     since: MonoMs,
 }
 
@@ -67,7 +70,7 @@
     pub(super) fn notice_behind(&mut self, now: MonoMs) {
         let extent = self.newest_known();
         let first_ahead = self.ahead(now).next().map(|member| Behind {
-            extent: Extent {
+            extent: KnownState {
                 revision: member.revision,
                 version: member.version,
             },
@@ -79,8 +82,8 @@
         self.behind = known_before.or(first_ahead);
     }
 
-    fn newest_known(&self) -> Extent {
-        Extent {
+    fn newest_known(&self) -> KnownState {
+        KnownState {
             revision: self.targets.revision(),
             version: self.version(),
         }
@@ -122,7 +125,7 @@
             .map(|member| member.peer_address)
             .take(ASKED_PEERS)
             .collect();
-        let wants = Wants {
+        let wants = CatchUpRequest {
             reply_to: self.own.peer_address,
             known: self.extent(),
         };
@@ -224,7 +227,7 @@
         &mut self,
         now: MonoMs,
         from: SocketAddr,
-        beat: Option<Beat>,
+        beat: Option<HeartbeatFrame>,
         roster: Option<Roster>,
     ) {
         if let Some(beat) = beat {
@@ -266,7 +269,7 @@
         }
     }
 
-    pub(super) fn spec_of(&self, placed: &Placed) -> Option<EngineSpec> {
+    pub(super) fn spec_of(&self, placed: &PlacedPrompt) -> Option<EngineSpec> {
         self.spec_of_target(placed.engines.first()?)
     }
 
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -5,7 +5,7 @@
     crate::{
         catalog::EngineSpec,
         engines::EngineLoad,
-        fleet::{EngineGroup, EnginePace, JobId, Placed, Placement, Reserved},
+        fleet::{EngineGroup, EnginePace, JobId, PlacedPrompt, Placement, ReservedMemory},
         mechanism::Mechanism,
         names::TargetId,
         placement::{Candidate, Choice, PromptShape, choose, work_loss},
@@ -93,7 +93,7 @@
             .iter()
             .map(|place| entries[*place].clone())
             .collect();
-        let placed = Placed {
+        let placed = PlacedPrompt {
             job,
             engines,
             prompt_tokens: ask.prompt_tokens,
@@ -129,7 +129,7 @@
             slack_ms: ask.slack_ms.max(0) as f64,
             pause_limit_ms: ask.pause_limit_ms as f64,
             patience_ms: ask.patience_ms as f64,
-            reserved: Reserved::for_tokens(tokens, spec.memory_tokens),
+            reserved: ReservedMemory::for_tokens(tokens, spec.memory_tokens),
             used: self.engines.used(now, group, engines),
             is_blind: self.is_blind(now, group),
             without: self.without,
@@ -212,7 +212,7 @@
         })
     }
 
-    pub(super) fn count_placed(&mut self, now: MonoMs, spec: &EngineSpec, placed: Placed) {
+    pub(super) fn count_placed(&mut self, now: MonoMs, spec: &EngineSpec, placed: PlacedPrompt) {
         if let Some(engine) = placed.engines.first() {
             let group = self.groups.of(engine);
             self.engines.placed(now, spec, group, placed);
--- a/crates/serving/src/serving/quotas.rs
+++ b/crates/serving/src/serving/quotas.rs
@@ -10,7 +10,7 @@
         fleet::{Frame, hash},
         mechanism::Mechanism,
         names::TargetId,
-        quotas::{Permission, PermitAnswer, PermitAsk},
+        quotas::{Permission, PermitRequest, PermitResponse},
         targets::TargetEntry,
     },
     std::net::SocketAddr,
@@ -66,7 +66,7 @@
         &mut self,
         now: MonoMs,
         target: &TargetId,
-        answer: Option<PermitAnswer>,
+        answer: Option<PermitResponse>,
     ) -> bool {
         let refused_for_ms = answer.map_or(Some(UNANSWERED_MS), |answer| answer.refused_for_ms);
         if let Some(wait_ms) = refused_for_ms {
@@ -77,7 +77,7 @@
 
     /// Answers another instance that takes this one for the holder of a target's quota; `None` if it only
     /// tells of a request.
-    pub fn grant(&mut self, now: MonoMs, ask: &PermitAsk) -> Option<PermitAnswer> {
+    pub fn grant(&mut self, now: MonoMs, ask: &PermitRequest) -> Option<PermitResponse> {
         let is_holder = self.holder(&ask.target) == Some(self.own.peer_address);
         let bucket = self.quotas.bucket(now, &ask.target);
         if ask.reply_to.is_none() {
@@ -89,7 +89,7 @@
         } else {
             Err(UNANSWERED_MS)
         };
-        Some(PermitAnswer {
+        Some(PermitResponse {
             number: ask.number,
             refused_for_ms: taken.err(),
         })
@@ -119,9 +119,9 @@
         target: &TargetId,
         limit_per_s: f64,
         reply_to: Option<SocketAddr>,
-    ) -> PermitAsk {
+    ) -> PermitRequest {
         self.next_permit += 1;
-        PermitAsk {
+        PermitRequest {
             number: self.next_permit,
             reply_to,
             target: target.clone(),
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -3,8 +3,8 @@
 use {
     super::Serving,
     crate::{
-        fleet::{Frame, Wants},
-        relays::{Extent, Follow, Relay, Word},
+        fleet::{CatchUpRequest, Frame},
+        relays::{FollowRequest, KnownState, Relay, RelayStatus},
         targets::TargetChange,
     },
     std::net::SocketAddr,
@@ -88,12 +88,12 @@
 
     /// The relays that this instance goes by, and what it asks of each in a heartbeat; the first one is to
     /// tell it each change.
-    pub fn follows(&self, now: MonoMs) -> Vec<(SocketAddr, Follow)> {
+    pub fn follows(&self, now: MonoMs) -> Vec<(SocketAddr, FollowRequest)> {
         if !self.members.is_large() || self.is_first_reader(now) {
             return Vec::new();
         }
         let known = self.extent();
-        let follow = |wants_changes| Follow {
+        let follow = |wants_changes| FollowRequest {
             known,
             wants_changes,
         };
@@ -104,9 +104,9 @@
     }
 
     /// How far this instance's knowledge goes.
-    pub(super) fn extent(&self) -> Extent {
+    pub(super) fn extent(&self) -> KnownState {
         let known_to = self.following.known_to().unwrap_or(0);
-        Extent {
+        KnownState {
             revision: self.targets.settled_up_to(known_to),
             version: self.version(),
         }
@@ -159,7 +159,7 @@
         &mut self,
         now: MonoMs,
         from: SocketAddr,
-        word: &Word,
+        word: &RelayStatus,
         targets: Vec<TargetChange>,
     ) -> Vec<TargetChange> {
         let news = match word.since {
@@ -199,12 +199,12 @@
     }
 
     /// What this instance can say of its knowledge, if it was ever told all.
-    fn word(&self, now: MonoMs) -> Option<Word> {
+    fn word(&self, now: MonoMs) -> Option<RelayStatus> {
         let followed = self.following.freshest(now);
         let told_at = followed.map(|relay| MonoMs(now.0.saturating_sub(relay.age_ms)));
         let as_of = self.read_at.max(told_at)?;
         let known = self.extent();
-        Some(Word {
+        Some(RelayStatus {
             known,
             age_ms: now.since(as_of),
             since: Some(known.revision),
@@ -213,19 +213,19 @@
     }
 
     /// What a peer lacks that is behind.
-    pub fn reply_to(&self, now: MonoMs, wants: &Wants) -> Frame {
+    pub fn reply_to(&self, now: MonoMs, wants: &CatchUpRequest) -> Frame {
         self.lacking(wants.known, self.word(now))
     }
 
     /// What somebody lacks who knows all up to an extent, with a word that confirms the rest, if this instance
     /// can give one.
-    fn lacking(&self, extent: Extent, word: Option<Word>) -> Frame {
+    fn lacking(&self, extent: KnownState, word: Option<RelayStatus>) -> Frame {
         let is_known = extent.revision > 0 && self.targets.remembers_since(extent.revision);
         // A list of all targets tells removals by what it lacks, which only a word makes certain.
         let since = (is_known || word.is_none()).then_some(extent.revision);
         let published = self.published.clone();
         Frame {
-            word: word.map(|word| Word { since, ..word }),
+            word: word.map(|word| RelayStatus { since, ..word }),
             configuration: published.filter(|published| published.version > extent.version),
             targets: match since {
                 Some(since) => self.targets.changes_after(since),
@@ -237,7 +237,7 @@
 }
 
 /// A word with no changes; it says nothing to those that lack any.
-fn bare(word: Word) -> Frame {
+fn bare(word: RelayStatus) -> Frame {
     Frame {
         word: Some(word),
         ..Frame::default()
