--- a/crates/daemon/src/entry/answers_whole.rs
+++ b/crates/daemon/src/entry/answers_whole.rs
@@ -69,7 +69,7 @@
         let end = attempt(state, context, answer, &target).await;
         tried.push(target.id.clone());
         match end {
-            Ok(whole) if whole.head.status < 500 || !context.route.repeat.is_idempotent() => {
+            Ok(whole) if whole.head.status < 500 || !context.route.retry_policy.is_idempotent() => {
                 return pass_on(answer, &whole).await;
             }
             Ok(whole) => {
@@ -79,7 +79,7 @@
             Err(fault) => {
                 runs += u32::from(fault.may_have_run());
                 note_failed(state, context, &target, &fault);
-                if fault.may_have_run() && !context.route.repeat.is_idempotent() {
+                if fault.may_have_run() && !context.route.retry_policy.is_idempotent() {
                     let reason = fault.to_string();
                     return Ended::own(answer, 502, &reason, None).await;
                 }
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -229,7 +229,7 @@
     answer: &CallerAnswer<'_>,
 ) -> Ended {
     let work = async {
-        if context.route.repeat.is_stream() && is_prompt(&context.caller) {
+        if context.route.retry_policy.is_stream() && is_prompt(&context.caller) {
             serve_stream(state, context, answer).await
         } else {
             serve_call(state, context, answer).await
--- a/crates/daemon/src/entry/links/incoming.rs
+++ b/crates/daemon/src/entry/links/incoming.rs
@@ -78,15 +78,15 @@
 }
 
 fn take_frame(state: &EntryState, from: u64, mut frame: Frame) {
-    if let Some(answer) = frame.answer.take() {
+    if let Some(answer) = frame.placement_response.take() {
         state.links.placements.answered(&answer.job.clone(), answer);
     }
-    if let Some(answer) = frame.permit_answer.take() {
+    if let Some(answer) = frame.permit_response.take() {
         state.links.permits.answered(&answer.number, answer);
     }
-    let wants = frame.wants.take();
-    let ask = frame.ask.take();
-    let permit_ask = frame.permit_ask.take();
+    let wants = frame.catch_up_request.take();
+    let ask = frame.placement_request.take();
+    let permit_ask = frame.permit_request.take();
     let now = state.now();
     let mut serving = state.serving();
     let before = serving.version();
@@ -121,7 +121,7 @@
 fn grant(serving: &mut Serving, now: MonoMs, ask: &PermitRequest) -> Option<(SocketAddr, Frame)> {
     let permit_answer = serving.grant(now, ask);
     let frame = Frame {
-        permit_answer,
+        permit_response: permit_answer,
         ..Frame::default()
     };
     Some((ask.reply_to?, frame))
@@ -130,7 +130,7 @@
 fn answer(serving: &mut Serving, now: MonoMs, ask: &PlacementRequest) -> Frame {
     let placement = serving.choose_engines(now, ask.job, ask.group, &ask.prompt);
     Frame {
-        answer: Some(PlacementResponse {
+        placement_response: Some(PlacementResponse {
             job: ask.job,
             placement,
         }),
--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -216,21 +216,24 @@
         let mut heartbeat = self.state.serving().heartbeat(now);
         let asked: Vec<SocketAddr> = self.wanted.asked.iter().copied().collect();
         self.state.send(&asked, &heartbeat);
-        let Some(beat) = heartbeat.beat else {
+        let Some(beat) = heartbeat.heartbeat else {
             return;
         };
         let follows = self.state.serving().follows(now);
         let mut own: Vec<SocketAddr> = self.wanted.own.iter().copied().collect();
         own.retain(|address| follows.iter().all(|(relay, _)| relay != address));
         let beat = HeartbeatFrame {
-            asks_for_link: true,
+            requests_link: true,
             ..beat
         };
-        heartbeat.beat = Some(beat);
+        heartbeat.heartbeat = Some(beat);
         self.state.send(&own, &heartbeat);
         for (relay, follow) in follows {
             let follows = Some(follow);
-            heartbeat.beat = Some(HeartbeatFrame { follows, ..beat });
+            heartbeat.heartbeat = Some(HeartbeatFrame {
+                follow_request: follows,
+                ..beat
+            });
             self.state.send(&[relay], &heartbeat);
         }
     }
--- a/crates/daemon/src/entry/permits.rs
+++ b/crates/daemon/src/entry/permits.rs
@@ -19,10 +19,10 @@
 pub async fn is_permitted(state: &EntryState, target: &TargetId) -> bool {
     let permission = state.serving().permission(state.now(), target);
     let asked = match permission {
-        Permission::Given => return true,
+        Permission::Granted => return true,
         Permission::Refused => None,
-        Permission::Ask { holder, ask } => {
-            let answer = ask_holder(state, holder, &ask).await;
+        Permission::AskHolder { holder, request } => {
+            let answer = ask_holder(state, holder, &request).await;
             let now = state.now();
             if state.serving().permit_answered(now, target, answer) {
                 return true;
@@ -53,7 +53,7 @@
 ) -> Option<PermitResponse> {
     let awaited = state.links.permits.begin(ask.number);
     let frame = Frame {
-        permit_ask: Some(ask.clone()),
+        permit_request: Some(ask.clone()),
         ..Frame::default()
     };
     state.send(&[holder], &frame);
--- a/crates/daemon/src/entry/placing.rs
+++ b/crates/daemon/src/entry/placing.rs
@@ -102,7 +102,7 @@
     let awaited = state.links.placements.begin(job);
     state.serving().asked_in(job, group);
     let frame = Frame {
-        ask: Some(PlacementRequest {
+        placement_request: Some(PlacementRequest {
             job,
             reply_to: state.settings.peer_address,
             group,
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -200,12 +200,12 @@
         caller_address: settings.caller_address,
         peer_address: settings.peer_address,
         cpu_millis: settings.cpu_millis,
-        beat_ms: 0,
+        heartbeat_interval_ms: 0,
         version: 0,
         revision: 0,
         ready: false,
         leaving: false,
-        said_at_ms: 0,
+        stated_at_ms: 0,
     }
 }
 
--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -108,7 +108,8 @@
                 self.answer.set_may_have_run(self.runs > 0);
             }
             self.splitter.drop_half();
-            let may_repeat = self.context.route.repeat.is_idempotent() || !fault.may_have_run();
+            let may_repeat =
+                self.context.route.retry_policy.is_idempotent() || !fault.may_have_run();
             let is_over = self.runs >= self.context.route.max_attempts
                 || self.answer.progress().sends > self.context.route.max_attempts
                 || tried.len() >= MOST_TARGETS;
@@ -250,7 +251,7 @@
     /// Whether a further engine may take the prompt if this attempt comes to nothing.
     pub(super) fn has_another_attempt(&self) -> bool {
         let route = &self.context.route;
-        route.repeat.is_idempotent() && self.runs + 1 < route.max_attempts
+        route.retry_policy.is_idempotent() && self.runs + 1 < route.max_attempts
     }
 
     fn log_sent(&self, place: &PromptPlace) {
--- a/crates/serving/src/catalog/route.rs
+++ b/crates/serving/src/catalog/route.rs
@@ -4,24 +4,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
     /// Idempotent request: may run more than once.
-    Safe,
+    Idempotent,
     /// May run at most once.
-    Once,
+    AtMostOnce,
     /// Stream that another target may resume after the last delivered event.
     ResumableStream,
     /// Stream that may run at most once.
-    OnceStream,
+    AtMostOnceStream,
 }
 
 impl RetryPolicy {
     /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Self::ResumableStream | Self::OnceStream)
+        matches!(self, Self::ResumableStream | Self::AtMostOnceStream)
     }
 
     /// Returns whether a request that may have run may be sent again.
     pub fn is_idempotent(self) -> bool {
-        matches!(self, Self::Safe | Self::ResumableStream)
+        matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
@@ -44,7 +44,7 @@
     /// Path prefix to match; begins and ends with a slash.
     pub prefix: String,
     /// Which requests may be sent again.
-    pub repeat: RetryPolicy,
+    pub retry_policy: RetryPolicy,
     /// Maximum time that a request is kept, in ms.
     pub timeout_ms: u64,
     /// Time within which a response, or the first event of a stream, is on time, in ms.
--- a/crates/serving/src/fleet/engine_groups.rs
+++ b/crates/serving/src/fleet/engine_groups.rs
@@ -21,7 +21,7 @@
 
 impl EngineGroup {
     /// Returns whether the engine belongs to this group.
-    pub fn has(self, engine: &str) -> bool {
+    pub fn contains(self, engine: &str) -> bool {
         group_number(engine, self.count) == self.number
     }
 }
@@ -50,7 +50,7 @@
     }
 
     /// Adjusts the number of groups to the number of engines.
-    pub fn fit(&mut self, engines: usize) {
+    pub fn resize(&mut self, engines: usize) {
         let max_engines = |count: u32| count as usize * MAX_GROUP_ENGINES;
         while engines > max_engines(self.count) {
             self.count *= 2;
@@ -76,7 +76,7 @@
     }
 
     /// Returns the group to which the engine belongs.
-    pub fn of(self, engine: &str) -> EngineGroup {
+    pub fn group_of(self, engine: &str) -> EngineGroup {
         self.group(group_number(engine, self.count))
     }
 }
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -35,7 +35,8 @@
     /// Processor time that it may use, in thousandths of a core.
     pub cpu_millis: u32,
     /// Time between two of its heartbeats, in ms.
-    pub beat_ms: u64,
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_interval_ms: u64,
     /// Version of its active configuration.
     pub version: u64,
     /// Store revision of the newest change that it knows.
@@ -46,7 +47,8 @@
     pub leaving: bool,
     /// Time of this statement, in ms by the instance's own clock. Of two statements of one run the later
     /// one wins, in whichever order they arrive.
-    pub said_at_ms: u64,
+    #[serde(rename = "said_at_ms")]
+    pub stated_at_ms: u64,
 }
 
 /// Heartbeat of an instance whose state is unchanged except for what it knows of the store.
@@ -57,22 +59,23 @@
     /// Store revision of the newest change that it knows.
     pub revision: u64,
     /// Whether the receiver is to open a link back to the sender.
-    pub asks_for_link: bool,
+    #[serde(rename = "asks_for_link")]
+    pub requests_link: bool,
     /// Number of groups into which the sender divides the engines, 0 if it doesn't report one.
     #[serde(default)]
     pub engine_groups: u32,
     /// What the sender requests of the receiver, if that is a relay that it follows.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub follows: Option<FollowRequest>,
+    #[serde(rename = "follows", default, skip_serializing_if = "Option::is_none")]
+    pub follow_request: Option<FollowRequest>,
 }
 
 impl Member {
     /// Returns whether the two states are equal, apart from the fields that every published change updates.
-    pub fn says_the_same(&self, other: &Self) -> bool {
+    pub fn is_same_state(&self, other: &Self) -> bool {
         let comparable = Self {
             version: other.version,
             revision: other.revision,
-            said_at_ms: other.said_at_ms,
+            stated_at_ms: other.stated_at_ms,
             ..self.clone()
         };
         comparable == *other
@@ -199,8 +202,8 @@
     /// Expected time from the choice to the first event, in ms.
     pub first_event_ms: f64,
     /// Inputs of the decision, for the log.
-    #[serde(default)]
-    pub weighed: Weighed,
+    #[serde(rename = "weighed", default)]
+    pub inputs: Weighed,
 }
 
 /// A message between instances. An absent field makes no statement; unknown fields are ignored.
@@ -214,8 +217,8 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub peers: Vec<SocketAddr>,
     /// Heartbeat of the sender.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub beat: Option<HeartbeatFrame>,
+    #[serde(rename = "beat", skip_serializing_if = "Option::is_none")]
+    pub heartbeat: Option<HeartbeatFrame>,
     /// The instances from which the sender receives frames, sent by hubs.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub roster: Option<Roster>,
@@ -223,23 +226,23 @@
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub is_snapshot: bool,
     /// Request for what the sender lacks, if it lags behind.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub wants: Option<CatchUpRequest>,
+    #[serde(rename = "wants", skip_serializing_if = "Option::is_none")]
+    pub catch_up_request: Option<CatchUpRequest>,
     /// Request to choose engines for a prompt.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub ask: Option<PlacementRequest>,
+    #[serde(rename = "ask", skip_serializing_if = "Option::is_none")]
+    pub placement_request: Option<PlacementRequest>,
     /// Engines for a prompt of the receiver.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub answer: Option<PlacementResponse>,
+    #[serde(rename = "answer", skip_serializing_if = "Option::is_none")]
+    pub placement_response: Option<PlacementResponse>,
     /// Request for a permit, or a notice of a request that was sent without one.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub permit_ask: Option<PermitRequest>,
+    #[serde(rename = "permit_ask", skip_serializing_if = "Option::is_none")]
+    pub permit_request: Option<PermitRequest>,
     /// Response to a permit request of the receiver.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub permit_answer: Option<PermitResponse>,
+    #[serde(rename = "permit_answer", skip_serializing_if = "Option::is_none")]
+    pub permit_response: Option<PermitResponse>,
     /// The sender's status as a relay, sent to its followers.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub word: Option<RelayStatus>,
+    #[serde(rename = "word", skip_serializing_if = "Option::is_none")]
+    pub relay_status: Option<RelayStatus>,
     /// Configuration that the receiver lacks.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub configuration: Option<PublishedText>,
@@ -250,8 +253,8 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub placed: Vec<PlacedPrompt>,
     /// Prompts whose first event has arrived.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub begun: Vec<JobId>,
+    #[serde(rename = "begun", skip_serializing_if = "Vec::is_empty")]
+    pub started: Vec<JobId>,
     /// Prompts that failed at their engines.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub failed: Vec<JobId>,
--- a/crates/serving/src/fleet/known_member.rs
+++ b/crates/serving/src/fleet/known_member.rs
@@ -44,9 +44,9 @@
     /// Ignores a statement of the same run that is older than the known one. Otherwise an instance that no
     /// longer receives frames of a peer would go on naming it to callers, though the peer has announced
     /// through others that it leaves.
-    pub fn says(&mut self, member: Member) -> Option<u64> {
+    pub fn apply_statement(&mut self, member: Member) -> Option<u64> {
         let former_run = self.member.run;
-        if member.run == former_run && member.said_at_ms < self.member.said_at_ms {
+        if member.run == former_run && member.stated_at_ms < self.member.stated_at_ms {
             return None;
         }
         self.member = member;
@@ -54,13 +54,13 @@
     }
 
     /// Records a frame that the instance sent to this one.
-    pub fn hear(&mut self, now: MonoMs) {
+    pub fn record_frame(&mut self, now: MonoMs) {
         self.last_frame_at = Some(now);
         self.last_seen_at = now;
     }
 
     /// Records a request of the instance to be linked to.
-    pub fn ask(&mut self, now: MonoMs) {
+    pub fn record_link_request(&mut self, now: MonoMs) {
         self.link_requested_at = Some(now);
     }
 
@@ -72,11 +72,11 @@
 
     /// Returns the silence after which the instance is considered dead, in ms.
     fn silence_timeout_ms(&self) -> u64 {
-        (MAX_MISSED_HEARTBEATS * self.member.beat_ms).max(MIN_SILENCE_TIMEOUT_MS)
+        (MAX_MISSED_HEARTBEATS * self.member.heartbeat_interval_ms).max(MIN_SILENCE_TIMEOUT_MS)
     }
 
     /// Returns whether the instance has sent a frame recently; `grace_ms` extends the permitted silence.
-    pub fn is_heard(&self, now: MonoMs, grace_ms: u64) -> bool {
+    pub fn is_responsive(&self, now: MonoMs, grace_ms: u64) -> bool {
         self.last_frame_at.is_some_and(|last_frame_at| {
             now.since(last_frame_at) < self.silence_timeout_ms() + grace_ms
         })
@@ -84,7 +84,7 @@
 
     /// Shortens the permitted silence after a link broke: the instance is considered dead unless it sends a
     /// frame within `BROKEN_LINK_TIMEOUT_MS`.
-    pub fn doubt(&mut self, now: MonoMs) {
+    pub fn suspect(&mut self, now: MonoMs) {
         let latest =
             MonoMs((now.0 + BROKEN_LINK_TIMEOUT_MS).saturating_sub(self.silence_timeout_ms()));
         self.last_frame_at = self
@@ -93,9 +93,9 @@
     }
 
     /// Restarts the silence timeout after a time in which this process could not receive anything.
-    pub fn excuse(&mut self, now: MonoMs) {
+    pub fn reset_silence(&mut self, now: MonoMs) {
         if self.last_frame_at.is_some() {
-            self.hear(now);
+            self.record_frame(now);
         }
     }
 }
--- a/crates/serving/src/fleet/membership.rs
+++ b/crates/serving/src/fleet/membership.rs
@@ -36,17 +36,17 @@
 
 impl Membership {
     /// Returns whether the instance is unknown or its state differs from the known one.
-    pub fn is_news(&self, member: &Member) -> bool {
+    pub fn has_changed(&self, member: &Member) -> bool {
         let known = self.known.get(&member.peer_address);
-        known.is_none_or(|known| !known.member.says_the_same(member))
+        known.is_none_or(|known| !known.member.is_same_state(member))
     }
 
     /// Applies the state that an instance sent of itself. Returns the run that it replaces, if any.
-    pub fn heard(&mut self, now: MonoMs, member: Member) -> Option<u64> {
+    pub fn apply_member(&mut self, now: MonoMs, member: Member) -> Option<u64> {
         let address = member.peer_address;
         let former = self.upsert(now, member);
         if let Some(known) = self.known.get_mut(&address) {
-            known.hear(now);
+            known.record_frame(now);
         }
         former
     }
@@ -56,7 +56,7 @@
         let address = member.peer_address;
         self.learned_addresses.remove(&address);
         let former = if let Some(known) = self.known.get_mut(&address) {
-            known.says(member)
+            known.apply_statement(member)
         } else {
             self.known.insert(address, KnownMember::new(now, member));
             None
@@ -69,7 +69,7 @@
     ///
     /// A run that sends frames to this instance takes precedence over a different one in a roster: the
     /// sender of the roster still lists the former run.
-    pub fn roster(
+    pub fn apply_roster(
         &mut self,
         now: MonoMs,
         own: SocketAddr,
@@ -89,7 +89,7 @@
                 continue;
             }
             let is_former_run =
-                |known: &KnownMember| known.is_heard(now, 0) && known.member.run != member.run;
+                |known: &KnownMember| known.is_responsive(now, 0) && known.member.run != member.run;
             if self.known.get(&address).is_some_and(is_former_run) {
                 continue;
             }
@@ -104,35 +104,40 @@
     }
 
     /// Records a frame of an instance as a sign of life. Returns the instance's peer address, if it is known.
-    pub fn lives(&mut self, now: MonoMs, run: u64) -> Option<SocketAddr> {
+    pub fn record_frame(&mut self, now: MonoMs, run: u64) -> Option<SocketAddr> {
         let mut known = self.known.iter_mut();
         let (address, known) = known.find(|(_, known)| known.member.run == run)?;
-        known.hear(now);
+        known.record_frame(now);
         Some(*address)
     }
 
     /// Applies a heartbeat, which leaves the rest of the instance's state unchanged.
-    pub fn beat(&mut self, now: MonoMs, address: SocketAddr, beat: HeartbeatFrame) {
+    pub fn apply_heartbeat(&mut self, now: MonoMs, address: SocketAddr, heartbeat: HeartbeatFrame) {
         if let Some(known) = self.known.get_mut(&address) {
-            known.member.version = known.member.version.max(beat.version);
-            known.member.revision = known.member.revision.max(beat.revision);
-            known.engine_groups = beat.engine_groups;
-            if beat.asks_for_link {
-                known.ask(now);
+            known.member.version = known.member.version.max(heartbeat.version);
+            known.member.revision = known.member.revision.max(heartbeat.revision);
+            known.engine_groups = heartbeat.engine_groups;
+            if heartbeat.requests_link {
+                known.record_link_request(now);
             }
         }
     }
 
     /// Marks an instance as suspect after a link to it broke: unless it sends a frame soon, it is
     /// considered dead.
-    pub fn doubt(&mut self, now: MonoMs, address: SocketAddr) {
+    pub fn suspect(&mut self, now: MonoMs, address: SocketAddr) {
         if let Some(known) = self.known.get_mut(&address) {
-            known.doubt(now);
+            known.suspect(now);
         }
     }
 
     /// Adds peer addresses that another instance reported. They are dropped if no instance is found there.
-    pub fn told(&mut self, now: MonoMs, own: SocketAddr, addresses: &[SocketAddr]) {
+    pub fn add_learned_addresses(
+        &mut self,
+        now: MonoMs,
+        own: SocketAddr,
+        addresses: &[SocketAddr],
+    ) {
         for address in addresses {
             if *address != own && !self.known.contains_key(address) {
                 self.learned_addresses.entry(*address).or_insert(now);
@@ -141,7 +146,7 @@
     }
 
     /// Sets the seed addresses from the settings.
-    pub fn seeded(&mut self, own: SocketAddr, addresses: &[SocketAddr]) {
+    pub fn add_seeds(&mut self, own: SocketAddr, addresses: &[SocketAddr]) {
         let others = addresses.iter().filter(|address| **address != own);
         self.seeds = others.copied().collect();
     }
@@ -157,7 +162,7 @@
     /// In a large fleet these are the hubs and the deciders for this instance's `groups`. A hub links to
     /// all instances that it remembers, so that two parts of a partitioned fleet find each other again
     /// without their seeds.
-    pub fn wanted(
+    pub fn needed_links(
         &self,
         now: MonoMs,
         own: SocketAddr,
@@ -172,7 +177,7 @@
         let responsive_hubs = hubs
             .iter()
             .filter_map(|hub| self.known.get(hub))
-            .filter(|hub| hub.is_heard(now, 0));
+            .filter(|hub| hub.is_responsive(now, 0));
         if is_hub || !self.is_large() || responsive_hubs.count() < MIN_RESPONSIVE_HUBS {
             wanted.extend(&self.seeds);
         }
@@ -185,7 +190,7 @@
     }
 
     /// Returns the addresses of the instances that have requested a link.
-    pub fn asking(&self, now: MonoMs) -> impl Iterator<Item = SocketAddr> {
+    pub fn link_requesters(&self, now: MonoMs) -> impl Iterator<Item = SocketAddr> {
         self.known
             .iter()
             .filter(move |(_, known)| known.wants_link(now))
@@ -194,20 +199,22 @@
 
     /// Returns the addresses to report to peers: in a small fleet those of all live instances, else those
     /// of the hubs.
-    pub fn addresses_to_tell(&self, now: MonoMs) -> Vec<SocketAddr> {
+    pub fn addresses_to_report(&self, now: MonoMs) -> Vec<SocketAddr> {
         if self.is_large() {
             return self.ranks.hubs().to_vec();
         }
-        self.fresh(now).map(|member| member.peer_address).collect()
+        self.live_members(now)
+            .map(|member| member.peer_address)
+            .collect()
     }
 
     /// Returns the instances that are considered alive: those that sent a frame recently, and those on the
     /// roster of an instance that did.
-    pub fn fresh(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
+    pub fn live_members(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
         let listers: HashSet<SocketAddr> = self
             .known
             .iter()
-            .filter(|(_, known)| known.is_heard(now, ROSTER_GRACE_MS))
+            .filter(|(_, known)| known.is_responsive(now, ROSTER_GRACE_MS))
             .map(|(address, _)| *address)
             .collect();
         self.known
@@ -219,16 +226,16 @@
                         .iter()
                         .any(|lister| listers.contains(lister))
                 };
-                known.is_heard(now, 0) || is_listed()
+                known.is_responsive(now, 0) || is_listed()
             })
             .map(|known| &known.member)
     }
 
     /// Returns the instances that sent a frame to this one recently.
-    pub fn heard_now(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
+    pub fn responsive_members(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
         self.known
             .values()
-            .filter(move |known| known.is_heard(now, 0))
+            .filter(move |known| known.is_responsive(now, 0))
             .map(|known| &known.member)
     }
 
@@ -236,7 +243,7 @@
     /// an earlier one.
     pub fn full_roster(&self, now: MonoMs, own: SocketAddr) -> Roster {
         let listed = if self.ranks.hubs().contains(&own) {
-            self.heard_now(now).cloned().collect()
+            self.responsive_members(now).cloned().collect()
         } else {
             Vec::new()
         };
@@ -248,9 +255,9 @@
     }
 
     /// Returns a hub's roster changes since the last call; `None` if nothing changed.
-    pub fn roster_news(&mut self, now: MonoMs, own: SocketAddr) -> Option<Roster> {
+    pub fn roster_changes(&mut self, now: MonoMs, own: SocketAddr) -> Option<Roster> {
         let responsive: HashMap<SocketAddr, Member> = if self.ranks.hubs().contains(&own) {
-            self.heard_now(now)
+            self.responsive_members(now)
                 .map(|member| (member.peer_address, member.clone()))
                 .collect()
         } else {
@@ -258,7 +265,7 @@
         };
         let is_news = |member: &&Member| {
             let announced = self.announced.get(&member.peer_address);
-            announced.is_none_or(|announced| !announced.says_the_same(member))
+            announced.is_none_or(|announced| !announced.is_same_state(member))
         };
         let listed: Vec<Member> = responsive.values().filter(is_news).cloned().collect();
         let gone: Vec<SocketAddr> = self
@@ -286,19 +293,19 @@
     ///
     /// Returns whether this instance got a role that it didn't have.
     pub fn rank(&mut self, now: MonoMs, own: &Member) -> bool {
-        let alive = self.fresh(now).chain([own]);
+        let alive = self.live_members(now).chain([own]);
         let ranks = Ranks::new(self.is_large(), &own.failure_domain, alive);
-        let is_new = ranks.are_new_to(own.peer_address, &self.ranks);
+        let is_new = ranks.has_new_role(own.peer_address, &self.ranks);
         self.ranks = ranks;
         is_new
     }
 
     /// Returns the number of engine groups of the first responsive hub; `None` if that is this instance.
-    pub fn engine_groups(&self, now: MonoMs, own: SocketAddr) -> Option<u32> {
+    pub fn hub_group_count(&self, now: MonoMs, own: SocketAddr) -> Option<u32> {
         let hubs = self.ranks.hubs().iter();
         let is_responsive = |hub: &&SocketAddr| {
             let known = self.known.get(*hub);
-            **hub == own || known.is_some_and(|known| known.is_heard(now, 0))
+            **hub == own || known.is_some_and(|known| known.is_responsive(now, 0))
         };
         let first = hubs.copied().find(|hub| is_responsive(&hub))?;
         let told = self.known.get(&first)?.engine_groups;
@@ -307,7 +314,7 @@
 
     /// Returns the runs that are considered dead; their prompts have ended or are about to.
     pub fn silent_runs(&self, now: MonoMs) -> Vec<u64> {
-        let fresh: HashSet<u64> = self.fresh(now).map(|member| member.run).collect();
+        let fresh: HashSet<u64> = self.live_members(now).map(|member| member.run).collect();
         self.known
             .values()
             .map(|known| known.member.run)
@@ -317,15 +324,15 @@
 
     /// Restarts the silence timeout of all instances after this process was paused and could not receive
     /// frames.
-    pub fn excuse_all(&mut self, now: MonoMs) {
+    pub fn reset_silence(&mut self, now: MonoMs) {
         for known in self.known.values_mut() {
-            known.excuse(now);
+            known.reset_silence(now);
         }
     }
 
     /// Returns the largest number of instances known at the same time, including this one: the number that
     /// shares the retry budget.
-    pub fn most(&self) -> usize {
+    pub fn peak_size(&self) -> usize {
         if self.peak_size == 0 && !self.seeds.is_empty() {
             return ASSUMED_FLEET_SIZE;
         }
@@ -333,9 +340,11 @@
     }
 
     /// Removes instances and addresses that were last seen too long ago.
-    pub fn forget_old(&mut self, now: MonoMs) {
-        let fresh: HashSet<SocketAddr> =
-            self.fresh(now).map(|member| member.peer_address).collect();
+    pub fn evict_expired(&mut self, now: MonoMs) {
+        let fresh: HashSet<SocketAddr> = self
+            .live_members(now)
+            .map(|member| member.peer_address)
+            .collect();
         self.known.retain(|address, known| {
             if fresh.contains(address) {
                 known.last_seen_at = now;
--- a/crates/serving/src/fleet/ranks.rs
+++ b/crates/serving/src/fleet/ranks.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the instances of this one's failure domain, including this one, by descending processor time.
-    pub fn near(&self) -> &[SocketAddr] {
+    pub fn in_own_domain(&self) -> &[SocketAddr] {
         &self.near
     }
 
@@ -78,7 +78,7 @@
 
     /// Returns whether `own` is a hub that it wasn't in the former ranks, or the fleet became large or
     /// small since.
-    pub fn are_new_to(&self, own: SocketAddr, former: &Self) -> bool {
+    pub fn has_new_role(&self, own: SocketAddr, former: &Self) -> bool {
         let is_new_hub = self.hubs.contains(&own) && !former.hubs.contains(&own);
         is_new_hub || self.is_large != former.is_large
     }
--- a/crates/serving/src/quotas/permits.rs
+++ b/crates/serving/src/quotas/permits.rs
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Permission {
     /// The request may be sent.
-    Given,
+    Granted,
     /// The request may not be sent.
     Refused,
     /// The holder of the target's quota decides.
-    Ask {
+    AskHolder {
         /// Peer address of the holder.
         holder: SocketAddr,
         /// Request to send to the holder.
-        ask: PermitRequest,
+        request: PermitRequest,
     },
 }
 
--- a/crates/serving/src/quotas/quota_table.rs
+++ b/crates/serving/src/quotas/quota_table.rs
@@ -21,7 +21,7 @@
     }
 
     /// Records that no request may be sent to a target for a time, in ms.
-    pub fn refuse(&mut self, now: MonoMs, target: &TargetId, wait_ms: u64) {
+    pub fn record_refusal(&mut self, now: MonoMs, target: &TargetId, wait_ms: u64) {
         self.refused_until.insert(target.clone(), now + wait_ms);
     }
 
@@ -33,14 +33,14 @@
     }
 
     /// Returns the targets with a refusal that has not been evicted yet.
-    pub fn refused(&self) -> impl Iterator<Item = &TargetId> {
+    pub fn refused_targets(&self) -> impl Iterator<Item = &TargetId> {
         self.refused_until.keys()
     }
 
     /// Removes expired refusals and unused buckets.
-    pub fn forget_old(&mut self, now: MonoMs) {
+    pub fn evict_expired(&mut self, now: MonoMs) {
         self.buckets
-            .retain(|_, bucket| bucket.rested_ms(now) < BUCKET_RETENTION_MS);
+            .retain(|_, bucket| bucket.idle_ms(now) < BUCKET_RETENTION_MS);
         self.refused_until.retain(|_, until| *until > now);
     }
 }
--- a/crates/serving/src/quotas/token_bucket.rs
+++ b/crates/serving/src/quotas/token_bucket.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns the time since a token was last requested or charged, in ms.
-    pub fn rested_ms(&self, now: MonoMs) -> u64 {
+    pub fn idle_ms(&self, now: MonoMs) -> u64 {
         now.since(self.refilled_at)
     }
 
--- a/crates/serving/src/relays/followed_relays.rs
+++ b/crates/serving/src/relays/followed_relays.rs
@@ -44,7 +44,7 @@
     }
 
     /// Records that all changes up to a store revision are known.
-    pub fn complete(&mut self, revision: u64) {
+    pub fn mark_complete_at(&mut self, revision: u64) {
         self.known_to = self.known_to.max(Some(revision));
     }
 
@@ -52,7 +52,7 @@
     ///
     /// They don't if an earlier update was lost, or if nothing is known yet: a part of the published
     /// entries would then be taken for all of them.
-    pub fn continues(&self, status: &RelayStatus) -> bool {
+    pub fn is_contiguous(&self, status: &RelayStatus) -> bool {
         match (status.since, self.known_to) {
             (None, _) => true,
             (Some(since), Some(known_to)) => since <= known_to,
@@ -64,15 +64,21 @@
     ///
     /// Ignores the age of a status that is older than what is known here, from a relay that lags or whose
     /// store went back to an earlier state: it doesn't confirm that the newer state still holds.
-    pub fn heard(&mut self, now: MonoMs, from: SocketAddr, status: &RelayStatus, own_version: u64) {
+    pub fn apply_status(
+        &mut self,
+        now: MonoMs,
+        from: SocketAddr,
+        status: &RelayStatus,
+        own_version: u64,
+    ) {
         if status.is_cut_off {
-            self.pass_over(now, from);
+            self.exclude(now, from);
             return;
         }
-        if !self.continues(status) {
+        if !self.is_contiguous(status) {
             return;
         }
-        self.complete(status.known.revision);
+        self.mark_complete_at(status.known.revision);
         self.excluded_until.remove(&from);
         if self.known_to == Some(status.known.revision) && own_version >= status.known.version {
             let confirmed = ConfirmedRevision {
@@ -84,13 +90,13 @@
     }
 
     /// Records that the store doesn't answer an instance, this one or a relay.
-    pub fn pass_over(&mut self, now: MonoMs, address: SocketAddr) {
+    pub fn exclude(&mut self, now: MonoMs, address: SocketAddr) {
         self.confirmed.remove(&address);
         self.excluded_until.insert(address, now + EXCLUSION_MS);
     }
 
     /// Records that the store answers an instance.
-    pub fn answers(&mut self, address: SocketAddr) {
+    pub fn readmit(&mut self, address: SocketAddr) {
         self.excluded_until.remove(&address);
     }
 
@@ -119,7 +125,7 @@
     }
 
     /// Removes statuses and exclusions that have expired.
-    pub fn forget_old(&mut self, now: MonoMs) {
+    pub fn evict_expired(&mut self, now: MonoMs) {
         self.confirmed
             .retain(|_, confirmed| now.since(confirmed.as_of) < MAX_STATUS_AGE_MS);
         self.excluded_until.retain(|_, until| *until > now);
--- a/crates/serving/src/relays/followers.rs
+++ b/crates/serving/src/relays/followers.rs
@@ -32,14 +32,14 @@
 /// Recipients of a relay's next update.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RelayUpdate {
-    /// Followers that get the changes since `told`.
+    /// Followers that get the changes since `previous`.
     pub changes_to: Vec<SocketAddr>,
     /// State that the last update to all followers described.
-    pub told: KnownState,
+    pub previous: KnownState,
     /// Followers that get only the relay's status.
-    pub word_to: Vec<SocketAddr>,
+    pub status_to: Vec<SocketAddr>,
     /// Followers that lack more than the latest changes, by the state that they have.
-    pub behind: BTreeMap<KnownState, Vec<SocketAddr>>,
+    pub lagging: BTreeMap<KnownState, Vec<SocketAddr>>,
 }
 
 /// The instances that follow this relay.
@@ -53,7 +53,12 @@
 
 impl Followers {
     /// Applies the request that a follower sends with each heartbeat.
-    pub fn note(&mut self, now: MonoMs, address: SocketAddr, follow: FollowRequest) {
+    pub fn apply_follow_request(
+        &mut self,
+        now: MonoMs,
+        address: SocketAddr,
+        follow: FollowRequest,
+    ) {
         let follower = self.by_address.entry(address).or_insert(Follower {
             follow,
             last_request_at: now,
@@ -73,7 +78,7 @@
     }
 
     /// Schedules an update to all followers.
-    pub fn word_is_due(&mut self) {
+    pub fn schedule_update(&mut self) {
         self.is_update_due = true;
     }
 
@@ -83,21 +88,21 @@
     }
 
     /// Removes the followers that have stopped sending requests.
-    pub fn forget_old(&mut self, now: MonoMs) {
+    pub fn evict_expired(&mut self, now: MonoMs) {
         self.by_address
             .retain(|_, follower| now.since(follower.last_request_at) < FOLLOWER_TIMEOUT_MS);
     }
 
     /// Returns who gets which update now, given what this relay knows. Followers without a link are
     /// skipped; a new one is served once it is linked.
-    pub fn shipment(
+    pub fn next_update(
         &mut self,
         now: MonoMs,
         known: KnownState,
         is_linked: impl Fn(&SocketAddr) -> bool,
     ) -> RelayUpdate {
         let mut update = RelayUpdate {
-            told: self.told,
+            previous: self.told,
             ..RelayUpdate::default()
         };
         let is_due = std::mem::take(&mut self.is_update_due);
@@ -112,13 +117,13 @@
             let is_new = std::mem::take(&mut follower.is_new);
             let wants_changes = follower.follow.wants_changes;
             if follower.has_lost_update() || (is_new && wants_changes) {
-                let lagging = update.behind.entry(follower.follow.known).or_default();
+                let lagging = update.lagging.entry(follower.follow.known).or_default();
                 lagging.push(*address);
                 follower.awaited = None;
             } else if is_due && wants_changes {
                 update.changes_to.push(*address);
             } else {
-                update.word_to.push(*address);
+                update.status_to.push(*address);
             }
             follower.await_state(now, known);
         }
--- a/crates/serving/src/retries/crash_tracker.rs
+++ b/crates/serving/src/retries/crash_tracker.rs
@@ -48,7 +48,7 @@
 
 impl CrashTracker {
     /// Records a failure that was seen here or reported by a peer. Returns whether it is new.
-    pub fn note(&mut self, now: MonoMs, crash: &Crash) -> bool {
+    pub fn record_crash(&mut self, now: MonoMs, crash: &Crash) -> bool {
         let record = self
             .records
             .entry(crash.fingerprint)
@@ -65,7 +65,7 @@
 
     /// Records that a target served the request, here or at a peer, so that it didn't cause the earlier
     /// failures. Returns whether there were any.
-    pub fn served(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_served(&mut self, fingerprint: Fingerprint) -> bool {
         self.records.remove(&fingerprint).is_some()
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// Removes records that have expired.
-    pub fn forget_old(&mut self, now: MonoMs) {
+    pub fn evict_expired(&mut self, now: MonoMs) {
         self.records.retain(|_, record| {
             now.since(record.last_crash_at) < CRASH_RETENTION_MS + record.quarantine_ms()
         });
--- a/crates/serving/src/retries/fleet_budget.rs
+++ b/crates/serving/src/retries/fleet_budget.rs
@@ -48,13 +48,13 @@
     }
 
     /// Records the arrival of a request for a service.
-    pub fn first(&mut self, now: MonoMs, service: &ServiceName) {
+    pub fn record_request(&mut self, now: MonoMs, service: &ServiceName) {
         self.slot(now, service).first_attempts += 1;
     }
 
     /// Takes a retry from the budget, whose free retries are shared by `instances`. Returns whether it is
     /// allowed.
-    pub fn take(&mut self, now: MonoMs, service: &ServiceName, instances: usize) -> bool {
+    pub fn take_retry(&mut self, now: MonoMs, service: &ServiceName, instances: usize) -> bool {
         self.slot(now, service);
         let slots = &self.by_service[service];
         let first_attempts: u32 = slots.iter().map(|slot| slot.first_attempts).sum();
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -150,7 +150,7 @@
         let own = self.is_ready().then_some(self.own.caller_address);
         let peers = self
             .members
-            .fresh(now)
+            .live_members(now)
             .filter(|member| member.ready && !member.leaving)
             .map(|member| member.caller_address);
         let mut addresses: Vec<SocketAddr> = own.into_iter().chain(peers).collect();
@@ -170,8 +170,8 @@
         for run in self.members.silent_runs(now) {
             self.engines.drop_run(run, &[]);
         }
-        self.members.forget_old(now);
-        self.crashes.forget_old(now);
+        self.members.evict_expired(now);
+        self.crashes.evict_expired(now);
         self.rank(now);
         self.fit_groups(now);
         self.tick_relays(now);
@@ -181,7 +181,7 @@
         self.calls.retain(|id| targets.entry(id).is_some());
         self.notices
             .forget_old(now, |id| targets.entry(id).is_some());
-        self.quotas.forget_old(now);
+        self.quotas.evict_expired(now);
     }
 
     fn rank(&mut self, now: MonoMs) {
@@ -196,18 +196,18 @@
     /// others not. Each engine then got prompts of two deciders that knew nothing of each other's, and of
     /// 3,936 short prompts in eleven seconds 478 began late.
     fn fit_groups(&mut self, now: MonoMs) {
-        if let Some(told) = self.members.engine_groups(now, self.own.peer_address) {
+        if let Some(told) = self.members.hub_group_count(now, self.own.peer_address) {
             self.groups.adopt(told);
             return;
         }
         let is_engine = |service: &str| self.spec_of_service(service).is_some();
         let engines = self.targets.all_ready();
         let engines = engines.filter(|entry| is_engine(&entry.service)).count();
-        self.groups.fit(engines);
+        self.groups.resize(engines);
     }
 
     /// The process was paused: what it heard before says nothing of now.
     pub fn woke(&mut self, now: MonoMs) {
-        self.members.excuse_all(now);
+        self.members.reset_silence(now);
     }
 }
--- a/crates/serving/src/serving/calls.rs
+++ b/crates/serving/src/serving/calls.rs
@@ -16,7 +16,7 @@
 impl Serving {
     /// Notes a request that arrived for a service, before any target is chosen.
     pub fn arrived(&mut self, now: MonoMs, service: &ServiceName) {
-        self.budget.first(now, service);
+        self.budget.record_request(now, service);
     }
 
     /// Chooses a target for a call and counts it as sent there.
@@ -47,8 +47,8 @@
         if keeps_poison && self.crashes.is_poison(now, fingerprint) {
             return Err(Refusal::Poison);
         }
-        let instances = self.members.most();
-        if is_repeat && !self.budget.take(now, service, instances) {
+        let instances = self.members.peak_size();
+        if is_repeat && !self.budget.take_retry(now, service, instances) {
             return Err(Refusal::BudgetUsed);
         }
         Ok(())
@@ -105,7 +105,7 @@
 
     /// Notes that a target served a request.
     pub fn served(&mut self, fingerprint: Fingerprint) {
-        if self.crashes.served(fingerprint) {
+        if self.crashes.record_served(fingerprint) {
             self.news.for_all().served.push(fingerprint);
         }
     }
@@ -116,7 +116,7 @@
             fingerprint,
             target: target.clone(),
         };
-        if self.crashes.note(now, &crash) {
+        if self.crashes.record_crash(now, &crash) {
             self.news.for_all().crashes.push(crash);
         }
     }
--- a/crates/serving/src/serving/configured.rs
+++ b/crates/serving/src/serving/configured.rs
@@ -45,7 +45,7 @@
     pub fn store_answers(&mut self, now: MonoMs) {
         self.targets.store_answers(now);
         self.cut_off_since = None;
-        self.following.answers(self.own.peer_address);
+        self.following.readmit(self.own.peer_address);
     }
 
     /// Whether the store didn't answer when it was last asked.
--- a/crates/serving/src/serving/members.rs
+++ b/crates/serving/src/serving/members.rs
@@ -36,12 +36,12 @@
 
     /// Number of peers that are taken for alive.
     pub fn peers(&self, now: MonoMs) -> usize {
-        self.members.fresh(now).count()
+        self.members.live_members(now).count()
     }
 
     /// Takes in addresses at which peers may be found, as the settings have them.
     pub fn seeded(&mut self, addresses: &[SocketAddr]) {
-        self.members.seeded(self.own.peer_address, addresses);
+        self.members.add_seeds(self.own.peer_address, addresses);
     }
 
     /// What this instance says of itself.
@@ -50,8 +50,8 @@
             ready: self.is_ready(),
             version: self.version(),
             revision: self.targets.revision(),
-            beat_ms: self.beat_ms(),
-            said_at_ms: now.0,
+            heartbeat_interval_ms: self.beat_ms(),
+            stated_at_ms: now.0,
             ..self.own.clone()
         }
     }
@@ -59,9 +59,11 @@
     /// The links to keep.
     pub fn wanted_links(&self, now: MonoMs) -> WantedLinks {
         let own_address = self.own.peer_address;
-        let mut own = self.members.wanted(now, own_address, &self.own_groups());
+        let mut own = self
+            .members
+            .needed_links(now, own_address, &self.own_groups());
         own.extend(self.follows(now).into_iter().map(|(relay, _)| relay));
-        let asking = self.members.asking(now);
+        let asking = self.members.link_requesters(now);
         let asked = asking.filter(|address| !own.contains(address)).collect();
         WantedLinks { own, asked }
     }
@@ -87,7 +89,7 @@
             .collect();
         self.targets
             .all_ready()
-            .filter(|entry| groups.iter().any(|group| group.has(&entry.id)))
+            .filter(|entry| groups.iter().any(|group| group.contains(&entry.id)))
             .filter(|entry| self.spec_of_service(&entry.service).is_some())
             .filter(|entry| !self.notices.is_limit_confirmed(now, &entry.id))
             .cloned()
@@ -98,13 +100,13 @@
     pub fn greeting(&self, now: MonoMs, to: SocketAddr, asks_for_link: bool) -> Frame {
         let mut follows = self.follows(now).into_iter();
         let beat = HeartbeatFrame {
-            follows: follows.find_map(|(relay, follow)| (relay == to).then_some(follow)),
+            follow_request: follows.find_map(|(relay, follow)| (relay == to).then_some(follow)),
             ..self.beat(asks_for_link)
         };
         Frame {
             member: Some(self.own_member(now)),
-            beat: Some(beat),
-            peers: self.members.addresses_to_tell(now),
+            heartbeat: Some(beat),
+            peers: self.members.addresses_to_report(now),
             leaving: self.targets.leaving(),
             limits: self.notices.limits(),
             roster: Some(self.members.full_roster(now, self.own.peer_address)),
@@ -132,14 +134,14 @@
         let is_news = !self
             .told
             .as_ref()
-            .is_some_and(|told| told.says_the_same(&own));
+            .is_some_and(|told| told.is_same_state(&own));
         self.told = Some(own.clone());
-        let mut peers = self.members.addresses_to_tell(now);
+        let mut peers = self.members.addresses_to_report(now);
         self.rng.shuffle(&mut peers);
         peers.truncate(BEAT_ADDRESSES);
         Frame {
             member: is_news.then_some(own),
-            beat: Some(self.beat(false)),
+            heartbeat: Some(self.beat(false)),
             peers,
             ..Frame::default()
         }
@@ -158,9 +160,9 @@
         HeartbeatFrame {
             version: self.version(),
             revision: self.targets.revision(),
-            asks_for_link,
+            requests_link: asks_for_link,
             engine_groups: self.groups.count(),
-            follows: None,
+            follow_request: None,
         }
     }
 
@@ -168,7 +170,7 @@
     pub fn roster_news(&mut self, now: MonoMs) -> Option<Frame> {
         self.is_roster_due = false;
         let own = self.own.peer_address;
-        let roster = self.members.roster_news(now, own)?;
+        let roster = self.members.roster_changes(now, own)?;
         Some(Frame {
             roster: Some(roster),
             ..Frame::default()
@@ -177,6 +179,6 @@
 
     /// A link to a peer broke.
     pub fn peer_lost(&mut self, now: MonoMs, address: SocketAddr) {
-        self.members.doubt(now, address);
+        self.members.suspect(now, address);
     }
 }
--- a/crates/serving/src/serving/news.rs
+++ b/crates/serving/src/serving/news.rs
@@ -83,7 +83,7 @@
     /// All prompts that this instance has at work on some groups of engines, for a peer that is to
     /// know of them from now on.
     pub fn jobs(&self, now: MonoMs, groups: &[EngineGroup]) -> Frame {
-        let is_theirs = |engine: &TargetId| groups.iter().any(|group| group.has(engine));
+        let is_theirs = |engine: &TargetId| groups.iter().any(|group| group.contains(engine));
         let jobs = || {
             self.engines
                 .jobs_of(self.own.run)
@@ -93,7 +93,7 @@
             member: Some(self.own_member(now)),
             is_snapshot: true,
             placed: jobs().map(|job| job.placed.clone()).collect(),
-            begun: jobs()
+            started: jobs()
                 .filter(|job| job.has_begun)
                 .map(|job| job.placed.job)
                 .collect(),
@@ -122,7 +122,7 @@
         let asked = self.asked_groups.get(&job).into_iter().flatten().copied();
         let placed = self.engines.job(job).and_then(|job| {
             let engine = job.placed.engines.first()?;
-            Some(self.groups.of(engine))
+            Some(self.groups.group_of(engine))
         });
         let groups: HashSet<EngineGroup> = asked.chain(placed).collect();
         groups.into_iter().collect()
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -58,7 +58,7 @@
         };
         if self.engines.paced(now, &spec, &engine.id, pace) {
             let id = engine.id.clone();
-            let group = self.groups.of(&id);
+            let group = self.groups.group_of(&id);
             self.news.of(group).paces.push(EnginePace { id, pace });
         }
     }
@@ -92,7 +92,7 @@
     fn ahead(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
         let (version, revision) = (self.version(), self.targets.revision());
         self.members
-            .fresh(now)
+            .live_members(now)
             .filter(move |member| member.version > version || member.revision > revision)
     }
 
@@ -130,7 +130,7 @@
             known: self.extent(),
         };
         let frame = Frame {
-            wants: Some(wants),
+            catch_up_request: Some(wants),
             ..Frame::default()
         };
         (!peers.is_empty()).then_some((peers, frame))
@@ -148,19 +148,19 @@
         if let Some(member) = frame.member {
             self.take_member(now, member);
         }
-        let address = self.members.lives(now, from);
+        let address = self.members.record_frame(now, from);
         if let Some(address) = address {
-            self.take_beat(now, address, frame.beat, frame.roster);
+            self.take_beat(now, address, frame.heartbeat, frame.roster);
         }
         let own = self.own.peer_address;
-        self.members.told(now, own, &frame.peers);
+        self.members.add_learned_addresses(now, own, &frame.peers);
         if let Some(published) = frame.configuration
             && published.version > self.version()
             && let Some(configuration) = decode(&published.text)
         {
             self.put_in_force(configuration, published.text);
         }
-        let changes = match (frame.word, address) {
+        let changes = match (frame.relay_status, address) {
             (Some(word), Some(relay)) => self.take_word(now, relay, &word, frame.targets),
             (Some(_), None) => Vec::new(),
             (None, _) => self.take_changes(now, frame.targets),
@@ -191,7 +191,7 @@
                 self.count_placed(now, &spec, placed);
             }
         }
-        for job in frame.begun {
+        for job in frame.started {
             self.note_begun(now, job);
         }
         for job in frame.failed {
@@ -213,8 +213,8 @@
     }
 
     fn take_member(&mut self, now: MonoMs, member: Member) {
-        let is_news = self.members.is_news(&member);
-        if let Some(former) = self.members.heard(now, member) {
+        let is_news = self.members.has_changed(&member);
+        if let Some(former) = self.members.apply_member(now, member) {
             self.engines.drop_run(former, &[]);
         }
         if is_news {
@@ -231,16 +231,16 @@
         roster: Option<Roster>,
     ) {
         if let Some(beat) = beat {
-            self.members.beat(now, from, beat);
-            if let Some(follow) = beat.follows {
-                self.followers.note(now, from, follow);
+            self.members.apply_heartbeat(now, from, beat);
+            if let Some(follow) = beat.follow_request {
+                self.followers.apply_follow_request(now, from, follow);
             }
         }
         let Some(roster) = roster else {
             return;
         };
         let own = self.own.peer_address;
-        for former in self.members.roster(now, own, from, roster) {
+        for former in self.members.apply_roster(now, own, from, roster) {
             self.engines.drop_run(former, &[]);
         }
         self.rank(now);
@@ -251,8 +251,8 @@
     /// any instance next, and any instance may have streams at such a target.
     fn take_warnings(&mut self, now: MonoMs, told: Warnings) {
         let new = Warnings {
-            crashes: keep(told.crashes, |crash| self.crashes.note(now, crash)),
-            served: keep(told.served, |request| self.crashes.served(*request)),
+            crashes: keep(told.crashes, |crash| self.crashes.record_crash(now, crash)),
+            served: keep(told.served, |request| self.crashes.record_served(*request)),
             unreachable: keep(told.unreachable, |id| self.calls.unreachable(now, id)),
             leaving: keep(told.leaving, |run| self.targets.leaves(now, run)),
             limits: keep(told.limits, |limit| self.notices.told_limit(now, limit)),
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -109,7 +109,7 @@
         Ok(Placement {
             placed,
             first_event_ms: choice.first_event_ms,
-            weighed,
+            inputs: weighed,
         })
     }
 
@@ -208,13 +208,13 @@
             reserved: placed.reserved,
             goes_first: placed.goes_first,
             first_event_ms: placement.first_event_ms,
-            weighed: placement.weighed,
+            weighed: placement.inputs,
         })
     }
 
     pub(super) fn count_placed(&mut self, now: MonoMs, spec: &EngineSpec, placed: PlacedPrompt) {
         if let Some(engine) = placed.engines.first() {
-            let group = self.groups.of(engine);
+            let group = self.groups.group_of(engine);
             self.engines.placed(now, spec, group, placed);
         }
     }
@@ -224,7 +224,7 @@
             .targets
             .ready(&ask.service)
             .map(|entry| &entry.id)
-            .filter(|id| group.has(id))
+            .filter(|id| group.contains(id))
             .filter(|id| !ask.excluded.contains(id))
             .collect();
         let reachable: Vec<TargetId> = ready
@@ -260,7 +260,7 @@
     pub fn prompt_begun(&mut self, now: MonoMs, job: JobId) {
         self.note_begun(now, job);
         for group in self.groups_of(job) {
-            self.news.of(group).begun.push(job);
+            self.news.of(group).started.push(job);
         }
     }
 
@@ -288,7 +288,7 @@
         };
         if let Some(pace) = self.engines.event_seen(now, &spec, &engine.id) {
             let id = engine.id.clone();
-            let group = self.groups.of(&id);
+            let group = self.groups.group_of(&id);
             self.news.of(group).paces.push(EnginePace { id, pace });
         }
     }
--- a/crates/serving/src/serving/quotas.rs
+++ b/crates/serving/src/serving/quotas.rs
@@ -38,13 +38,16 @@
             return Permission::Refused;
         }
         let Some(limit_per_s) = self.limit_per_s(target) else {
-            return Permission::Given;
+            return Permission::Granted;
         };
         match self.quota(target, limit_per_s) {
             Quota::Peer(holder) => {
                 let reply_to = Some(self.own.peer_address);
                 let ask = self.permit_ask(target, limit_per_s, reply_to);
-                Permission::Ask { holder, ask }
+                Permission::AskHolder {
+                    holder,
+                    request: ask,
+                }
             }
             Quota::Own { per_s } => self.take(now, target, per_s),
         }
@@ -53,9 +56,9 @@
     fn take(&mut self, now: MonoMs, target: &TargetId, per_s: f64) -> Permission {
         let bucket = self.quotas.bucket(now, target);
         match bucket.take(now, per_s) {
-            Ok(()) => Permission::Given,
+            Ok(()) => Permission::Granted,
             Err(wait_ms) => {
-                self.quotas.refuse(now, target, wait_ms);
+                self.quotas.record_refusal(now, target, wait_ms);
                 Permission::Refused
             }
         }
@@ -70,7 +73,7 @@
     ) -> bool {
         let refused_for_ms = answer.map_or(Some(UNANSWERED_MS), |answer| answer.refused_for_ms);
         if let Some(wait_ms) = refused_for_ms {
-            self.quotas.refuse(now, target, wait_ms);
+            self.quotas.record_refusal(now, target, wait_ms);
         }
         refused_for_ms.is_none()
     }
@@ -102,7 +105,7 @@
         match self.quota(target, limit_per_s) {
             Quota::Peer(holder) => {
                 let frame = Frame {
-                    permit_ask: Some(self.permit_ask(target, limit_per_s, None)),
+                    permit_request: Some(self.permit_ask(target, limit_per_s, None)),
                     ..Frame::default()
                 };
                 Some((holder, frame))
@@ -135,7 +138,7 @@
             Some(holder) if holder != self.own.peer_address => Quota::Peer(holder),
             Some(_own) => Quota::Own { per_s: limit_per_s },
             None => Quota::Own {
-                per_s: limit_per_s / self.members.most() as f64,
+                per_s: limit_per_s / self.members.peak_size() as f64,
             },
         }
     }
@@ -175,7 +178,7 @@
 
     /// The targets to which nothing may be sent now.
     pub fn closed_targets(&self, now: MonoMs) -> Vec<TargetId> {
-        let may_be_closed = self.quotas.refused().chain(self.notices.paused());
+        let may_be_closed = self.quotas.refused_targets().chain(self.notices.paused());
         may_be_closed
             .filter(|target| self.closed_until(now, target).is_some())
             .cloned()
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -75,7 +75,12 @@
 
     /// The instances of this failure domain that are to read the store, this one possibly among them.
     fn readers(&self, now: MonoMs) -> impl Iterator<Item = SocketAddr> {
-        let near = self.members.ranks().near().iter().take(RELAY_CANDIDATES);
+        let near = self
+            .members
+            .ranks()
+            .in_own_domain()
+            .iter()
+            .take(RELAY_CANDIDATES);
         near.filter(move |address| self.following.may_read(now, **address))
             .take(RELAYS)
             .copied()
@@ -130,22 +135,22 @@
 
     /// The store told all that was published up to a revision.
     pub fn store_told(&mut self, now: MonoMs, revision: u64) {
-        self.following.complete(revision);
+        self.following.mark_complete_at(revision);
         self.read_at = Some(now);
-        self.followers.word_is_due();
+        self.followers.schedule_update();
     }
 
     /// Settles what time alone decides of who reads the store.
     pub(super) fn tick_relays(&mut self, now: MonoMs) {
-        self.followers.forget_old(now);
-        self.following.forget_old(now);
+        self.followers.evict_expired(now);
+        self.following.evict_expired(now);
         let own = self.own.peer_address;
         let is_cut_off = self
             .cut_off_since
             .is_some_and(|since| now.since(since) >= CUT_OFF_MS);
         if is_cut_off && self.following.may_read(now, own) {
-            self.following.pass_over(now, own);
-            self.followers.word_is_due();
+            self.following.exclude(now, own);
+            self.followers.schedule_update();
         }
         // What is removed once the store is back may have lapsed only, whoever noticed its absence.
         let duty = self.store_duty(now);
@@ -163,12 +168,12 @@
         targets: Vec<TargetChange>,
     ) -> Vec<TargetChange> {
         let news = match word.since {
-            _ if !self.following.continues(word) => Vec::new(),
+            _ if !self.following.is_contiguous(word) => Vec::new(),
             None => self.targets.told_all(now, word.known.revision, targets),
             Some(_) => self.take_changes(now, targets),
         };
         let version = self.version();
-        self.following.heard(now, from, word, version);
+        self.following.apply_status(now, from, word, version);
         if matches!(self.store_duty(now), StoreDuty::Follow(_)) {
             self.targets.store_answers(now);
         }
@@ -184,16 +189,19 @@
         let Some(word) = self.word(now) else {
             return Vec::new();
         };
-        let shipment = self.followers.shipment(now, word.known, is_linked);
+        let shipment = self.followers.next_update(now, word.known, is_linked);
         let mut news: Vec<(Vec<SocketAddr>, Frame)> = Vec::new();
-        for (extent, to) in shipment.behind {
+        for (extent, to) in shipment.lagging {
             news.push((to, self.lacking(extent, Some(word))));
         }
         if !shipment.changes_to.is_empty() {
-            news.push((shipment.changes_to, self.lacking(shipment.told, Some(word))));
+            news.push((
+                shipment.changes_to,
+                self.lacking(shipment.previous, Some(word)),
+            ));
         }
-        if !shipment.word_to.is_empty() {
-            news.push((shipment.word_to, bare(word)));
+        if !shipment.status_to.is_empty() {
+            news.push((shipment.status_to, bare(word)));
         }
         news
     }
@@ -225,7 +233,7 @@
         let since = (is_known || word.is_none()).then_some(extent.revision);
         let published = self.published.clone();
         Frame {
-            word: word.map(|word| RelayStatus { since, ..word }),
+            relay_status: word.map(|word| RelayStatus { since, ..word }),
             configuration: published.filter(|published| published.version > extent.version),
             targets: match since {
                 Some(since) => self.targets.changes_after(since),
@@ -239,7 +247,7 @@
 /// A word with no changes; it says nothing to those that lack any.
 fn bare(word: RelayStatus) -> Frame {
     Frame {
-        word: Some(word),
+        relay_status: Some(word),
         ..Frame::default()
     }
 }
