--- a/crates/serving/src/fleet/membership.rs
+++ b/crates/serving/src/fleet/membership.rs
@@ -17,7 +17,7 @@
 /// Largest fleet in which each instance links to all others and receives all their prompts. The cost grows
 /// with the square of the number of instances; at this size it is below a hundredth of a core each.
 const MAX_FULL_MESH_INSTANCES: usize = 12;
-/// Number of responsive hubs from which on an instance no longer links to its seeds.
+/// Minimum number of responsive hubs; with fewer, the instance links to its seeds as well.
 const MIN_RESPONSIVE_HUBS: usize = 2;
 /// Number of instances that are assumed to share the fleet's retry budget until one is known, if there are
 /// seeds: an instance that starts cut off from all others must not take the whole budget.
@@ -300,7 +300,8 @@
         is_new
     }
 
-    /// Returns the number of engine groups of the first responsive hub; `None` if that is this instance.
+    /// Returns the number of engine groups of the first responsive hub; `None` if that is this instance or it
+    /// hasn't reported one.
     pub fn hub_group_count(&self, now: MonoMs, own: SocketAddr) -> Option<u32> {
         let hubs = self.ranks.hubs().iter();
         let is_responsive = |hub: &&SocketAddr| {
@@ -308,8 +309,8 @@
             **hub == own || known.is_some_and(|known| known.is_responsive(now, 0))
         };
         let first = hubs.copied().find(|hub| is_responsive(&hub))?;
-        let told = self.known.get(&first)?.engine_groups;
-        (first != own && told > 0).then_some(told)
+        let count = self.known.get(&first)?.engine_groups;
+        (first != own && count > 0).then_some(count)
     }
 
     /// Returns the runs that are considered dead; their prompts have ended or are about to.
--- a/crates/serving/src/relays/followers.rs
+++ b/crates/serving/src/relays/followers.rs
@@ -47,7 +47,7 @@
 pub struct Followers {
     by_address: HashMap<SocketAddr, Follower>,
     /// State that the last update to all followers described.
-    told: KnownState,
+    last_state: KnownState,
     is_update_due: bool,
 }
 
@@ -102,12 +102,12 @@
         is_linked: impl Fn(&SocketAddr) -> bool,
     ) -> RelayUpdate {
         let mut update = RelayUpdate {
-            previous: self.told,
+            previous: self.last_state,
             ..RelayUpdate::default()
         };
         let is_due = std::mem::take(&mut self.is_update_due);
         if is_due {
-            self.told = known;
+            self.last_state = known;
         }
         for (address, follower) in &mut self.by_address {
             let needs_update = is_due || follower.is_new || follower.has_lost_update();
--- a/crates/serving/tests/serving/quotas.rs
+++ b/crates/serving/tests/serving/quotas.rs
@@ -73,7 +73,7 @@
 }
 
 /// Lets all instances try to send for a while. Returns the times at which requests were sent.
-fn send_all(fleet: &mut Fleet, for_ms: u64) -> Vec<MonoMs> {
+fn try_to_send(fleet: &mut Fleet, for_ms: u64) -> Vec<MonoMs> {
     let mut sent = Vec::new();
     for number in 0..for_ms / TRY_INTERVAL_MS {
         if number % TRIES_PER_STEP == 0 {
@@ -110,7 +110,7 @@
     for size in SIZES {
         let mut fleet = limited_fleet(size);
 
-        let sent = send_all(&mut fleet, 3 * WINDOW_MS);
+        let sent = try_to_send(&mut fleet, 3 * WINDOW_MS);
 
         assert!(max_in_window(&sent) <= MAX_IN_WINDOW, "{size}");
         let used = sent.len() as f64 / (LIMIT_PER_S * 12.0);
@@ -134,11 +134,11 @@
 #[test]
 fn another_instance_grants_once_the_holder_is_gone() {
     let mut fleet = limited_fleet(SIZES[0]);
-    let mut sent = send_all(&mut fleet, WINDOW_MS);
+    let mut sent = try_to_send(&mut fleet, WINDOW_MS);
     let (holder, _request) = permit_requests(&mut fleet).remove(0);
 
     fleet.kill(holder);
-    sent.extend(send_all(&mut fleet, 3 * WINDOW_MS));
+    sent.extend(try_to_send(&mut fleet, 3 * WINDOW_MS));
 
     assert!(max_in_window(&sent) <= MAX_IN_WINDOW);
     let used = sent.len() as f64 / (LIMIT_PER_S * 16.0);
