--- a/crates/daemon/src/entry/links/incoming.rs
+++ b/crates/daemon/src/entry/links/incoming.rs
@@ -19,8 +19,8 @@
     whinlatch_platform::read_configuration,
     whinlatch_serving::{
         Serving,
-        fleet::{Frame, PlacementAnswer, PlacementAsk},
-        quotas::PermitAsk,
+        fleet::{Frame, PlacementRequest, PlacementResponse},
+        quotas::PermitRequest,
     },
 };
 
@@ -78,15 +78,15 @@
 }
 
 fn take_frame(state: &EntryState, from: u64, mut frame: Frame) {
-    if let Some(answer) = frame.answer.take() {
+    if let Some(answer) = frame.placement_response.take() {
         state.links.placements.answered(&answer.job.clone(), answer);
     }
-    if let Some(answer) = frame.permit_answer.take() {
+    if let Some(answer) = frame.permit_response.take() {
         state.links.permits.answered(&answer.number, answer);
     }
-    let wants = frame.wants.take();
-    let ask = frame.ask.take();
-    let permit_ask = frame.permit_ask.take();
+    let wants = frame.catch_up_request.take();
+    let ask = frame.placement_request.take();
+    let permit_ask = frame.permit_request.take();
     let now = state.now();
     let mut serving = state.serving();
     let before = serving.version();
@@ -118,19 +118,19 @@
 }
 
 /// The answer to an ask for a permit, and where it goes.
-fn grant(serving: &mut Serving, now: MonoMs, ask: &PermitAsk) -> Option<(SocketAddr, Frame)> {
+fn grant(serving: &mut Serving, now: MonoMs, ask: &PermitRequest) -> Option<(SocketAddr, Frame)> {
     let permit_answer = serving.grant(now, ask);
     let frame = Frame {
-        permit_answer,
+        permit_response: permit_answer,
         ..Frame::default()
     };
     Some((ask.reply_to?, frame))
 }
 
-fn answer(serving: &mut Serving, now: MonoMs, ask: &PlacementAsk) -> Frame {
+fn answer(serving: &mut Serving, now: MonoMs, ask: &PlacementRequest) -> Frame {
     let placement = serving.choose_engines(now, ask.job, ask.group, &ask.prompt);
     Frame {
-        answer: Some(PlacementAnswer {
+        placement_response: Some(PlacementResponse {
             job: ask.job,
             placement,
         }),
--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -2,7 +2,7 @@
     super::{EngineLoad, UnreadPart, WorkRate, WritingStream},
     crate::{
         catalog::EngineSpec,
-        fleet::{EngineGroup, JobId, Placed},
+        fleet::{EngineGroup, JobId, PlacedPrompt},
         names::TargetId,
         placement::value_of,
     },
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The prompt and its engines, as chosen here or reported by a peer.
-    pub placed: Placed,
+    pub placed: PlacedPrompt,
     /// Group of the engines.
     pub group: EngineGroup,
     /// When the prompt was recorded here.
@@ -72,7 +72,13 @@
     }
 
     /// Adds a prompt that was sent to engines of a group. Has no effect if it is known.
-    pub fn add_job(&mut self, now: MonoMs, spec: &EngineSpec, group: EngineGroup, placed: Placed) {
+    pub fn add_job(
+        &mut self,
+        now: MonoMs,
+        spec: &EngineSpec,
+        group: EngineGroup,
+        placed: PlacedPrompt,
+    ) {
         if self.jobs.contains_key(&placed.job) {
             return;
         }
@@ -239,7 +245,7 @@
 }
 
 /// Returns the memory that a prompt takes at its engine `index`, in tokens; the engine that answers is 0.
-fn memory_tokens(placed: &Placed, index: usize) -> u64 {
+fn memory_tokens(placed: &PlacedPrompt, index: usize) -> u64 {
     let whole = placed.prompt_tokens + u64::from(placed.answer_tokens);
     match placed.reserved {
         None if index == 0 => whole,
--- a/crates/serving/src/fleet.rs
+++ b/crates/serving/src/fleet.rs
@@ -1,20 +1,21 @@
-//! The other instances: who they are, which of them serve, and what they are told.
+//! Membership of the fleet: the other instances, their liveness and roles, and the frames that instances
+//! exchange.
 
 mod engine_groups;
 mod frame;
-mod known;
-mod member_book;
+mod known_member;
+mod membership;
 mod ranks;
 mod roster;
 
 pub use {
     engine_groups::{EngineGroup, EngineGroups},
     frame::{
-        Beat, Crash, EnginePace, Frame, JobId, Member, Placed, Placement, PlacementAnswer,
-        PlacementAsk, PublishedText, Reserved, Wants,
+        CatchUpRequest, Crash, EnginePace, Frame, HeartbeatFrame, JobId, Member, PlacedPrompt,
+        Placement, PlacementRequest, PlacementResponse, PublishedText, ReservedMemory,
     },
-    known::Known,
-    member_book::{MemberBook, hash},
+    known_member::KnownMember,
+    membership::{Membership, hash},
     ranks::Ranks,
     roster::Roster,
 };
--- a/crates/serving/src/placement/prompt_shape.rs
+++ b/crates/serving/src/placement/prompt_shape.rs
@@ -1,4 +1,4 @@
-use crate::{engines::EngineLoad, fleet::Reserved, mechanism::Without};
+use crate::{engines::EngineLoad, fleet::ReservedMemory, mechanism::Without};
 
 /// Size and time limits of a prompt, and the state in which its engines are chosen.
 #[derive(Debug, Clone, Copy)]
@@ -14,7 +14,7 @@
     /// Time after which the caller no longer waits for the first event, in ms.
     pub patience_ms: f64,
     /// Memory to be reserved at helpers; `None` if the prompt fits into the engine that answers.
-    pub reserved: Option<Reserved>,
+    pub reserved: Option<ReservedMemory>,
     /// Share of the engines' time that recently assigned reading takes, below 1.
     pub utilization: f64,
     /// Whether this instance knows little of what other instances place.
--- a/crates/serving/src/placement/prompt_split.rs
+++ b/crates/serving/src/placement/prompt_split.rs
@@ -6,7 +6,7 @@
         pause_loss::own_pause_loss,
         placement_context::PlacementContext,
     },
-    crate::{fleet::Reserved, mechanism::Mechanism},
+    crate::{fleet::ReservedMemory, mechanism::Mechanism},
 };
 
 /// Maximum weight of the affinity to an engine.
@@ -129,7 +129,7 @@
 
     /// Sorts helpers by free memory, the most first. Returns whether enough of them have memory for the
     /// reservations.
-    fn order_by_free_memory(&self, reserved: Reserved, shares: &mut [EngineShare]) -> bool {
+    fn order_by_free_memory(&self, reserved: ReservedMemory, shares: &mut [EngineShare]) -> bool {
         let used = |share: &EngineShare| self.candidates[share.index].load.memory_tokens;
         shares.sort_by_key(used);
         shares
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -22,11 +22,11 @@
     crate::{
         catalog::Configuration,
         engines::EngineLoads,
-        fleet::{EngineGroup, EngineGroups, JobId, Member, MemberBook, PublishedText, hash},
+        fleet::{EngineGroup, EngineGroups, JobId, Member, Membership, PublishedText, hash},
         mechanism::Without,
-        quotas::QuotaBook,
-        relays::{Followers, Following},
-        retries::{CrashBook, FleetBudget, FleetBudgetRule},
+        quotas::QuotaTable,
+        relays::{FollowedRelays, Followers},
+        retries::{CrashTracker, FleetBudget, FleetBudgetRule},
         targets::{CallLoads, TargetNotices, TargetRegistry},
     },
     news::News,
@@ -53,11 +53,11 @@
     engines: EngineLoads,
     calls: CallLoads,
     notices: TargetNotices,
-    quotas: QuotaBook,
+    quotas: QuotaTable,
     next_permit: u64,
-    members: MemberBook,
+    members: Membership,
     budget: FleetBudget,
-    crashes: CrashBook,
+    crashes: CrashTracker,
     groups: EngineGroups,
     /// The groups of engines in which peers were asked to choose for a prompt of this instance.
     asked_groups: HashMap<JobId, Vec<EngineGroup>>,
@@ -73,7 +73,7 @@
     /// What peers have known for a while and this instance doesn't.
     behind: Option<Behind>,
     /// The relays that this instance goes by, and what it knows through them.
-    following: Following,
+    following: FollowedRelays,
     /// Those that go by this instance.
     followers: Followers,
     /// When the store last told this instance what was published.
@@ -98,11 +98,11 @@
             engines: EngineLoads::default(),
             calls: CallLoads::default(),
             notices: TargetNotices::default(),
-            quotas: QuotaBook::default(),
+            quotas: QuotaTable::default(),
             next_permit: 0,
-            members: MemberBook::default(),
+            members: Membership::default(),
             budget: FleetBudget::new(rule),
-            crashes: CrashBook::default(),
+            crashes: CrashTracker::default(),
             groups: EngineGroups::default(),
             asked_groups: HashMap::new(),
             news: News::default(),
@@ -111,7 +111,7 @@
             is_roster_due: false,
             settled_at: MonoMs(0),
             behind: None,
-            following: Following::default(),
+            following: FollowedRelays::default(),
             followers: Followers::default(),
             read_at: None,
             cut_off_since: None,
@@ -150,7 +150,7 @@
         let own = self.is_ready().then_some(self.own.caller_address);
         let peers = self
             .members
-            .fresh(now)
+            .live_members(now)
             .filter(|member| member.ready && !member.leaving)
             .map(|member| member.caller_address);
         let mut addresses: Vec<SocketAddr> = own.into_iter().chain(peers).collect();
@@ -170,8 +170,8 @@
         for run in self.members.silent_runs(now) {
             self.engines.remove_run(run, &[]);
         }
-        self.members.forget_old(now);
-        self.crashes.forget_old(now);
+        self.members.evict_expired(now);
+        self.crashes.evict_expired(now);
         self.rank(now);
         self.fit_groups(now);
         self.tick_relays(now);
@@ -181,7 +181,7 @@
         self.calls.retain(|id| targets.entry(id).is_some());
         self.notices
             .evict_expired(now, |id| targets.entry(id).is_some());
-        self.quotas.forget_old(now);
+        self.quotas.evict_expired(now);
     }
 
     fn rank(&mut self, now: MonoMs) {
@@ -196,18 +196,18 @@
     /// others not. Each engine then got prompts of two deciders that knew nothing of each other's, and of
     /// 3,936 short prompts in eleven seconds 478 began late.
     fn fit_groups(&mut self, now: MonoMs) {
-        if let Some(told) = self.members.engine_groups(now, self.own.peer_address) {
+        if let Some(told) = self.members.hub_group_count(now, self.own.peer_address) {
             self.groups.adopt(told);
             return;
         }
         let is_engine = |service: &str| self.spec_of_service(service).is_some();
         let engines = self.targets.all_ready();
         let engines = engines.filter(|entry| is_engine(&entry.service)).count();
-        self.groups.fit(engines);
+        self.groups.resize(engines);
     }
 
     /// The process was paused: what it heard before says nothing of now.
     pub fn woke(&mut self, now: MonoMs) {
-        self.members.excuse_all(now);
+        self.members.reset_silence(now);
     }
 }
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -4,10 +4,13 @@
     super::Serving,
     crate::{
         catalog::{Configuration, EngineSpec},
-        fleet::{Beat, Crash, EnginePace, Frame, JobId, Member, Placed, Roster, Wants},
+        fleet::{
+            CatchUpRequest, Crash, EnginePace, Frame, HeartbeatFrame, JobId, Member, PlacedPrompt,
+            Roster,
+        },
         mechanism::Mechanism,
         names::TargetId,
-        relays::Extent,
+        relays::KnownState,
         retries::Fingerprint,
         targets::{AddressTakeover, TargetChange, TargetEntry, TargetLimit},
     },
@@ -25,7 +28,7 @@
 /// What a peer knew first.
 #[derive(Debug, Clone, Copy)]
 pub struct Behind {
-    extent: Extent,
+    extent: KnownState,
     since: MonoMs,
 }
 
@@ -55,7 +58,7 @@
         };
         if self.engines.apply_pace(now, &spec, &engine.id, pace) {
             let id = engine.id.clone();
-            let group = self.groups.of(&id);
+            let group = self.groups.group_of(&id);
             self.news.of(group).paces.push(EnginePace { id, pace });
         }
     }
@@ -67,7 +70,7 @@
     pub(super) fn notice_behind(&mut self, now: MonoMs) {
         let extent = self.newest_known();
         let first_ahead = self.ahead(now).next().map(|member| Behind {
-            extent: Extent {
+            extent: KnownState {
                 revision: member.revision,
                 version: member.version,
             },
@@ -79,8 +82,8 @@
         self.behind = known_before.or(first_ahead);
     }
 
-    fn newest_known(&self) -> Extent {
-        Extent {
+    fn newest_known(&self) -> KnownState {
+        KnownState {
             revision: self.targets.revision(),
             version: self.version(),
         }
@@ -89,7 +92,7 @@
     fn ahead(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
         let (version, revision) = (self.version(), self.targets.revision());
         self.members
-            .fresh(now)
+            .live_members(now)
             .filter(move |member| member.version > version || member.revision > revision)
     }
 
@@ -122,12 +125,12 @@
             .map(|member| member.peer_address)
             .take(ASKED_PEERS)
             .collect();
-        let wants = Wants {
+        let wants = CatchUpRequest {
             reply_to: self.own.peer_address,
             known: self.extent(),
         };
         let frame = Frame {
-            wants: Some(wants),
+            catch_up_request: Some(wants),
             ..Frame::default()
         };
         (!peers.is_empty()).then_some((peers, frame))
@@ -145,19 +148,19 @@
         if let Some(member) = frame.member {
             self.take_member(now, member);
         }
-        let address = self.members.lives(now, from);
+        let address = self.members.record_frame(now, from);
         if let Some(address) = address {
-            self.take_beat(now, address, frame.beat, frame.roster);
+            self.take_beat(now, address, frame.heartbeat, frame.roster);
         }
         let own = self.own.peer_address;
-        self.members.told(now, own, &frame.peers);
+        self.members.add_learned_addresses(now, own, &frame.peers);
         if let Some(published) = frame.configuration
             && published.version > self.version()
             && let Some(configuration) = decode(&published.text)
         {
             self.put_in_force(configuration, published.text);
         }
-        let changes = match (frame.word, address) {
+        let changes = match (frame.relay_status, address) {
             (Some(word), Some(relay)) => self.take_word(now, relay, &word, frame.targets),
             (Some(_), None) => Vec::new(),
             (None, _) => self.take_changes(now, frame.targets),
@@ -188,7 +191,7 @@
                 self.count_placed(now, &spec, placed);
             }
         }
-        for job in frame.begun {
+        for job in frame.started {
             self.note_begun(now, job);
         }
         for job in frame.failed {
@@ -212,8 +215,8 @@
     }
 
     fn take_member(&mut self, now: MonoMs, member: Member) {
-        let is_news = self.members.is_news(&member);
-        if let Some(former) = self.members.heard(now, member) {
+        let is_news = self.members.has_changed(&member);
+        if let Some(former) = self.members.apply_member(now, member) {
             self.engines.remove_run(former, &[]);
         }
         if is_news {
@@ -226,20 +229,20 @@
         &mut self,
         now: MonoMs,
         from: SocketAddr,
-        beat: Option<Beat>,
+        beat: Option<HeartbeatFrame>,
         roster: Option<Roster>,
     ) {
         if let Some(beat) = beat {
-            self.members.beat(now, from, beat);
-            if let Some(follow) = beat.follows {
-                self.followers.note(now, from, follow);
+            self.members.apply_heartbeat(now, from, beat);
+            if let Some(follow) = beat.follow_request {
+                self.followers.apply_follow_request(now, from, follow);
             }
         }
         let Some(roster) = roster else {
             return;
         };
         let own = self.own.peer_address;
-        for former in self.members.roster(now, own, from, roster) {
+        for former in self.members.apply_roster(now, own, from, roster) {
             self.engines.remove_run(former, &[]);
         }
         self.rank(now);
@@ -250,8 +253,8 @@
     /// any instance next, and any instance may have streams at such a target.
     fn take_warnings(&mut self, now: MonoMs, told: Warnings) {
         let new = Warnings {
-            crashes: keep(told.crashes, |crash| self.crashes.note(now, crash)),
-            served: keep(told.served, |request| self.crashes.served(*request)),
+            crashes: keep(told.crashes, |crash| self.crashes.record_crash(now, crash)),
+            served: keep(told.served, |request| self.crashes.record_served(*request)),
             unreachable: keep(told.unreachable, |id| {
                 self.calls.record_unreachable(now, id)
             }),
@@ -272,7 +275,7 @@
         }
     }
 
-    pub(super) fn spec_of(&self, placed: &Placed) -> Option<EngineSpec> {
+    pub(super) fn spec_of(&self, placed: &PlacedPrompt) -> Option<EngineSpec> {
         self.spec_of_target(placed.engines.first()?)
     }
 
