--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What is known of the other daemons and of the targets.
+//! Membership of the fleet, and the health and load of targets as seen by this daemon.
 
 mod load_book;
 mod members;
--- a/crates/core/src/fleet/load_book.rs
+++ b/crates/core/src/fleet/load_book.rs
@@ -8,111 +8,117 @@
     },
 };
 
-/// How old a load report may be without saying so, in ms. Work sent since then is added to it.
-const REPORT_AGE_MS: u64 = 500;
-/// Part of a prompt's time that is taken to be left when its first token is overdue.
-const OVERDUE_PART: f64 = 0.1;
-/// A prompt teaches the target's rate only if no more than this part of its time was waiting.
-const CLEAN_PART: f64 = 0.1;
+/// Maximum age of a load report on arrival, in ms; reports carry no time of measurement. Prompts
+/// sent within this time before a report arrived may be missing from it, so they are added to it.
+const MAX_REPORT_LAG_MS: u64 = 500;
+/// Fraction of a prompt's predicted read time that still counts as remaining once its first token
+/// is overdue.
+const MIN_REMAINING_FRACTION: f64 = 0.1;
+/// Longest prompt that may be sent after another, as a fraction of the other's read time, without
+/// spoiling the other as a sample of the target's read rate.
+const MAX_OVERLAP_FRACTION: f64 = 0.1;
 
-/// A prompt sent to a target, whose first token isn't there yet.
+/// A prompt sent to a target that hasn't returned its first token yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job {
-    /// The attempt.
+    /// Attempt that sent the prompt.
     pub attempt: AttemptId,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: MonoMs,
-    /// Predicted time until its turn comes, in ms from then.
+    /// Predicted time in the target's queue, in ms from `sent`.
     pub wait_ms: f64,
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub tokens: u64,
-    /// Engines that read it.
+    /// Number of engines that prefill it together.
     pub engines: usize,
-    /// Predicted time to read it, in ms.
+    /// Predicted prefill time once its turn has come, in ms.
     pub read_ms: f64,
-    /// Whether the target only helps another one to read it.
+    /// Whether the target only helps another engine to prefill it.
     pub helps: bool,
-    /// Memory that it takes here, in tokens.
+    /// Memory it takes at this target, in tokens.
     pub memory_tokens: u64,
-    /// How long it holds up others.
+    /// Weight class by prefill time, which decides how long it delays others.
     pub weight: Weight,
-    /// Whether its time shows how fast the target reads: nothing before it, no cached prefix.
+    /// Whether its time to first token is a sample of the target's read rate: nothing ran before it
+    /// and no prefix of it was cached.
     pub clean: bool,
 }
 
-/// How long a peer's last word is remembered, in ms: longer than any copy of it is passed on, so that
-/// an old one that comes round again isn't taken for news.
-const PEER_MS: u64 = 120_000;
+/// Retention of a peer's latest load update, in ms. It exceeds the time for which any copy is
+/// passed on, so that an old copy that arrives again is recognized as old.
+const PEER_LOAD_TTL_MS: u64 = 120_000;
 
-/// How long a peer's claim is believed unless it is stated again, in ms.
-const CLAIM_MS: u64 = 5_000;
+/// Time after which a peer's queued prompts no longer count unless the peer reports them again, in
+/// ms.
+const PEER_QUEUE_TTL_MS: u64 = 5_000;
 
-/// A long prompt that waits for its turn at the target.
+/// A long prompt of this daemon that is queued for a target and not sent yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Claim {
-    /// Names the claim.
+    /// Identifies the queued prompt.
     pub claim: AttemptId,
-    /// When the request was taken in; who waits longer goes first.
+    /// Time at which the request was accepted; the longest waiting goes first.
     pub since: MonoMs,
-    /// Predicted time to read it, in ms.
+    /// Predicted prefill time, in ms.
     pub read_ms: f64,
 }
 
-/// Work that is left at a target, by weight.
+/// Work that remains at a target, by weight class.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LeftWork {
-    /// Of light prompts, in ms.
+    /// Prefill time of light prompts, in ms.
     pub light_ms: f64,
-    /// Of medium prompts, in ms.
+    /// Prefill time of medium prompts, in ms.
     pub medium_ms: f64,
-    /// Of long prompts, in ms.
+    /// Prefill time of long prompts, in ms.
     pub long_ms: f64,
-    /// For which it helps others to read long prompts, in ms.
+    /// Time for which it helps other engines to prefill long prompts, in ms.
     pub helping_ms: f64,
 }
 
-/// Heavy work that another daemon has at the target.
+/// Medium and long prompts that another daemon has at the target.
 #[derive(Debug, Clone, Copy)]
-struct PeerWork {
+struct PeerLoad {
     origin: Incarnation,
     number: u64,
-    heard: MonoMs,
-    medium_until: MonoMs,
-    long_until: MonoMs,
-    helping_until: MonoMs,
+    received_at: MonoMs,
+    medium_ends_at: MonoMs,
+    long_ends_at: MonoMs,
+    helping_ends_at: MonoMs,
     claimed_ms: u64,
-    claimed_since: MonoMs,
+    oldest_queued_since: MonoMs,
 }
 
-/// What waits at a target, as seen from here: its lagging reports, corrected by what this daemon
-/// sent since, and the heavy work that peers tell of at once.
+/// Load of a target as seen by this daemon: the target's lagging reports, corrected by the prompts
+/// sent from here since, and the medium and long prompts that peers announce as they send them.
 #[derive(Debug, Clone, Default)]
 pub struct LoadBook {
     jobs: Vec<Job>,
     claims: Vec<Claim>,
-    peers: Vec<PeerWork>,
-    reported: MonoMs,
+    peers: Vec<PeerLoad>,
+    reported_at: MonoMs,
     reported_ms: f64,
-    since_ms: f64,
-    since_tokens: u64,
+    light_sent_since_report_ms: f64,
+    sent_since_report_tokens: u64,
     free_tokens: u64,
     running: u32,
 }
 
 impl LoadBook {
-    /// Notes a prompt that is sent.
+    /// Adds a prompt that was just sent.
     pub fn sent(&mut self, job: Job) {
         for other in &mut self.jobs {
-            other.clean &= job.read_ms <= other.read_ms * CLEAN_PART;
+            other.clean &= job.read_ms <= other.read_ms * MAX_OVERLAP_FRACTION;
         }
         if job.weight == Weight::Light {
-            self.since_ms += job.read_ms;
+            self.light_sent_since_report_ms += job.read_ms;
         }
-        self.since_tokens += job.memory_tokens;
+        self.sent_since_report_tokens += job.memory_tokens;
         self.jobs.push(job);
     }
 
-    /// What a prompt teaches whose first token came.
+    /// Returns the read-rate sample of a prompt whose first token arrived; `None` if the attempt is
+    /// unknown or other work distorted its time.
     pub fn sample(&self, now: MonoMs, attempt: AttemptId) -> Option<ReadSample> {
         let job = self.jobs.iter().find(|job| job.attempt == attempt)?;
         job.clean.then_some(ReadSample {
@@ -122,81 +128,84 @@
         })
     }
 
-    /// Forgets a prompt, whatever became of it.
+    /// Removes a prompt at its first token, failure or cancellation.
     pub fn ended(&mut self, attempt: AttemptId) -> Option<Job> {
-        let place = self.jobs.iter().position(|job| job.attempt == attempt)?;
-        Some(self.jobs.swap_remove(place))
+        let index = self.jobs.iter().position(|job| job.attempt == attempt)?;
+        Some(self.jobs.swap_remove(index))
     }
 
-    /// Takes in a report, given the time that the target takes for a token.
+    /// Applies a load report. `token_ms` is the target's time to read one token, in ms.
     pub fn reported(&mut self, now: MonoMs, report: &LoadReport, token_ms: f64) {
-        self.reported = now;
+        self.reported_at = now;
         self.reported_ms = report.prefill_tokens_left as f64 * token_ms;
         self.running = report.running;
         self.free_tokens = report
             .memory_total_tokens
             .saturating_sub(report.memory_used_tokens);
-        let since = |job: &&Job| now.since(job.sent) <= REPORT_AGE_MS;
-        let jobs = self.jobs.iter().filter(since);
-        self.since_tokens = jobs.clone().map(|job| job.memory_tokens).sum();
+        let may_be_missing = |job: &&Job| now.since(job.sent) <= MAX_REPORT_LAG_MS;
+        let jobs = self.jobs.iter().filter(may_be_missing);
+        self.sent_since_report_tokens = jobs.clone().map(|job| job.memory_tokens).sum();
         let light = jobs.filter(|job| job.weight == Weight::Light);
-        self.since_ms = light.map(|job| job.read_ms).sum();
+        self.light_sent_since_report_ms = light.map(|job| job.read_ms).sum();
     }
 
-    /// Takes in a peer's word. Returns whether it was news.
+    /// Applies a peer's load update. Returns whether it is newer than the last one from that peer.
     pub fn peer_says(&mut self, now: MonoMs, load: &TargetLoad) -> bool {
-        let word = PeerWork {
+        let update = PeerLoad {
             origin: load.origin,
             number: load.number,
-            heard: now,
-            medium_until: now + load.prefill_left_ms.saturating_sub(load.long_left_ms),
-            long_until: now + load.long_left_ms,
-            helping_until: now + load.helping_ms,
+            received_at: now,
+            medium_ends_at: now + load.prefill_left_ms.saturating_sub(load.long_left_ms),
+            long_ends_at: now + load.long_left_ms,
+            helping_ends_at: now + load.helping_ms,
             claimed_ms: load.claimed_ms,
-            claimed_since: MonoMs(now.0.saturating_sub(load.claim_age_ms)),
+            oldest_queued_since: MonoMs(now.0.saturating_sub(load.claim_age_ms)),
         };
-        self.peers
-            .retain(|work| now.since(work.heard) <= PEER_MS || work.long_until > now);
-        let known = self.peers.iter_mut().find(|w| w.origin == load.origin);
-        match known {
-            Some(known) if known.number >= word.number => return false,
-            Some(known) => *known = word,
-            None => self.peers.push(word),
+        self.peers.retain(|work| {
+            now.since(work.received_at) <= PEER_LOAD_TTL_MS || work.long_ends_at > now
+        });
+        let previous = self.peers.iter_mut().find(|w| w.origin == load.origin);
+        match previous {
+            Some(previous) if previous.number >= update.number => return false,
+            Some(previous) => *previous = update,
+            None => self.peers.push(update),
         }
         true
     }
 
-    /// Requests that the last report said were at work.
+    /// Requests that the target was running according to its last report.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Notes that a long prompt waits for its turn here.
+    /// Adds a long prompt that waits for its turn here; replaces one with the same id.
     pub fn claim(&mut self, claim: Claim) {
         self.unclaim(claim.claim);
         self.claims.push(claim);
     }
 
-    /// Forgets a claim. Returns whether there was one.
+    /// Removes a queued prompt. Returns whether there was one.
     pub fn unclaim(&mut self, claim: AttemptId) -> bool {
         let before = self.claims.len();
         self.claims.retain(|held| held.claim != claim);
         self.claims.len() < before
     }
 
-    /// This daemon's claims: their time in ms, and since when the first waits.
+    /// Returns the total prefill time of this daemon's queued prompts, in ms, and the time since
+    /// which the oldest waits.
     pub fn own_claims(&self) -> (f64, Option<MonoMs>) {
         let total_ms = self.claims.iter().map(|claim| claim.read_ms).sum();
         (total_ms, self.claims.iter().map(|claim| claim.since).min())
     }
 
-    /// Whether this daemon has a long prompt here, sent or waiting.
+    /// Returns whether this daemon has a long prompt here, sent or queued.
     pub fn has_long(&self) -> bool {
         !self.claims.is_empty() || self.jobs.iter().any(|job| job.weight == Weight::Long)
     }
 
-    /// Long prompts that wait here and go before a request that waits since `since`, in ms: those
-    /// that wait longer. So a prompt that takes many engines is not passed by others that take few.
+    /// Returns the prefill time, in ms, of queued long prompts that go before a request that waits
+    /// since `since`: those that wait longer. A prompt that takes many engines thus isn't overtaken
+    /// by prompts that take few.
     pub fn claimed_before_ms(&self, now: MonoMs, since: MonoMs, claim: AttemptId) -> f64 {
         let own = self
             .claims
@@ -206,23 +215,30 @@
         let peers = self
             .peers
             .iter()
-            .filter(|work| work.claimed_since < since && now.since(work.heard) <= CLAIM_MS)
+            .filter(|work| {
+                work.oldest_queued_since < since && now.since(work.received_at) <= PEER_QUEUE_TTL_MS
+            })
             .map(|work| work.claimed_ms as f64);
         own.sum::<f64>() + peers.sum::<f64>()
     }
 
-    /// Time of long prompts that wait for their turn here, in ms.
+    /// Returns the prefill time of all queued long prompts, this daemon's and its peers', in ms.
     pub fn claimed_ms(&self, now: MonoMs) -> f64 {
-        let peers = self.peers.iter().filter(|w| now.since(w.heard) <= CLAIM_MS);
+        let peers = self
+            .peers
+            .iter()
+            .filter(|w| now.since(w.received_at) <= PEER_QUEUE_TTL_MS);
         self.own_claims().0 + peers.map(|work| work.claimed_ms as f64).sum::<f64>()
     }
 
-    /// Memory that is free, in tokens.
+    /// Returns the free memory, in tokens, less what prompts sent since the last report take.
     pub fn free_tokens(&self) -> u64 {
-        self.free_tokens.saturating_sub(self.since_tokens)
+        self.free_tokens
+            .saturating_sub(self.sent_since_report_tokens)
     }
 
-    /// Work of this daemon of one weight that is left, in ms.
+    /// Returns the remaining prefill time of this daemon's prompts of one weight class, in ms;
+    /// helping not counted.
     pub fn own_ms(&self, now: MonoMs, weight: Weight) -> f64 {
         self.jobs
             .iter()
@@ -231,32 +247,35 @@
             .sum()
     }
 
-    /// How long this daemon's prompts keep the target helping others, in ms.
+    /// Returns for how long this daemon's prompts keep the target helping others, in ms.
     pub fn own_helping_ms(&self, now: MonoMs) -> f64 {
         let helps = self.jobs.iter().filter(|job| job.helps);
         helps.map(|job| job.left_ms(now)).fold(0.0, f64::max)
     }
 
-    /// What is left of all daemons' work.
+    /// Returns the remaining work of all daemons.
     pub fn left(&self, now: MonoMs) -> LeftWork {
         let peers = self.peers.iter();
         let (medium, long) = peers.fold((0, 0), |(medium, long), work| {
-            let medium = medium + work.medium_until.since(now);
-            (medium, long + work.long_until.since(now))
+            let medium = medium + work.medium_ends_at.since(now);
+            (medium, long + work.long_ends_at.since(now))
         });
         let medium_ms = self.own_ms(now, Weight::Medium) + medium as f64;
         let long_ms = self.own_ms(now, Weight::Long) + long as f64;
-        let helping = self.peers.iter().map(|work| work.helping_until.since(now));
+        let helping = self
+            .peers
+            .iter()
+            .map(|work| work.helping_ends_at.since(now));
         let helping_ms = self
             .own_helping_ms(now)
             .max(helping.max().unwrap_or(0) as f64);
-        let done_ms = now.since(self.reported) as f64;
-        let reported_ms = (self.reported_ms - done_ms).max(0.0);
-        // Beside others the report can't tell light work apart, so only what was sent from here
-        // counts then.
-        let alone = medium_ms + long_ms == 0.0;
+        let since_report_ms = now.since(self.reported_at) as f64;
+        let reported_ms = (self.reported_ms - since_report_ms).max(0.0);
+        // A report gives one sum for all weight classes. With medium or long work present the light
+        // part can't be told apart, so only what this daemon sent counts as light.
+        let only_light = medium_ms + long_ms == 0.0;
         LeftWork {
-            light_ms: self.since_ms + if alone { reported_ms } else { 0.0 },
+            light_ms: self.light_sent_since_report_ms + if only_light { reported_ms } else { 0.0 },
             medium_ms,
             long_ms,
             helping_ms,
@@ -266,7 +285,7 @@
 
 impl Job {
     fn left_ms(&self, now: MonoMs) -> f64 {
-        let passed_ms = (now.since(self.sent) as f64 - self.wait_ms).max(0.0);
-        (self.read_ms - passed_ms).max(self.read_ms * OVERDUE_PART)
+        let reading_ms = (now.since(self.sent) as f64 - self.wait_ms).max(0.0);
+        (self.read_ms - reading_ms).max(self.read_ms * MIN_REMAINING_FRACTION)
     }
 }
--- a/crates/core/src/fleet/members.rs
+++ b/crates/core/src/fleet/members.rs
@@ -1,12 +1,12 @@
-mod health;
+mod local_health;
 mod member;
 
 pub use member::Member;
 
 use {
     crate::time::MonoMs,
-    health::Health,
-    member::{SUSPECT_AFTER_MS, Verdict},
+    local_health::LocalHealth,
+    member::{SUSPECT_TIMEOUT_MS, Verdict},
     std::collections::{BTreeMap, HashMap, btree_map::Entry},
     whinlatch_wire::{
         ids::Incarnation,
@@ -14,48 +14,50 @@
     },
 };
 
-/// What a statement about a daemon did.
+/// Result of merging a membership update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
-    /// Nothing: it was known, or is over.
+    /// Nothing changed: the update was known, or the daemon is dead for good.
     Known,
-    /// It is passed on.
+    /// The update was new and is to be passed on.
     News,
-    /// This daemon was suspected and has contradicted.
+    /// The update suspects this daemon, which raised its version to refute it.
     Refuted,
-    /// Another run has taken this daemon's place.
+    /// The update says that another run has replaced this daemon.
     Superseded,
 }
 
-/// The other daemons, by incarnation, and what is told of this one.
+/// Membership table: the other daemons by incarnation, and what this daemon announces of itself.
 ///
-/// Death is only said on proof, and then it is final: another run answers on the same instance, or
-/// the daemon said that it leaves and fell silent. Silence alone is suspicion, since a partition
-/// looks the same; a suspected daemon gets no callers and no part in any ranking, and is forgotten
-/// after a while without a verdict. So two sides of a partition can take each other back.
+/// A daemon is only declared dead on proof, and then for good: another run answers on the same
+/// instance, or the daemon announced that it leaves and fell silent. Silence alone makes it
+/// suspect, since a partition looks the same. A suspected daemon gets no callers and takes part in
+/// no ranking, and is evicted after a while without being declared dead. So the two sides of a
+/// partition can take each other back.
 #[derive(Debug)]
 pub struct Members {
     own: MemberNews,
     by_incarnation: BTreeMap<Incarnation, Member>,
-    health: Health,
+    local_health: LocalHealth,
 }
 
 impl Members {
-    /// A daemon that knows no other.
+    /// Creates a table without other daemons.
     pub fn new(own: MemberNews) -> Self {
         Self {
             own,
             by_incarnation: BTreeMap::new(),
-            health: Health::default(),
+            local_health: LocalHealth::default(),
         }
     }
 
-    /// What is told of this daemon.
+    /// Returns the state that this daemon announces of itself.
     pub fn own(&self) -> &MemberNews {
         &self.own
     }
 
-    /// This daemon leaves. Returns what to tell, once.
+    /// Marks this daemon as leaving. Returns the update to announce, `None` if it was leaving
+    /// already.
     pub fn leave(&mut self) -> Option<MemberNews> {
         if self.own.state == MemberState::Leaving {
             return None;
@@ -65,7 +67,7 @@
         Some(self.own.clone())
     }
 
-    /// Notes an open link. Returns the runs whose place this one has taken.
+    /// Records that a link opened. Returns updates for the runs that this one replaces, now dead.
     pub fn linked(&mut self, now: MonoMs, hello: &Hello) -> Vec<MemberNews> {
         let news = MemberNews {
             incarnation: hello.incarnation,
@@ -81,13 +83,13 @@
             .entry(hello.incarnation)
             .or_insert_with(|| Member::new(now, &news));
         member.linked = true;
-        member.watched = true;
-        member.sign_of_life(now);
+        member.judged_by_link = true;
+        member.record_sign_of_life(now);
         self.supersede(now, &news)
     }
 
-    /// A former run on the same instance or address is dead, unless it is heard from: then two
-    /// processes share a name by mistake, and neither proves the other's end.
+    /// Declares former runs on the same instance or peer address dead, unless they are still heard
+    /// from: then two processes share a name by mistake, and neither proves the other's end.
     fn supersede(&mut self, now: MonoMs, newer: &MemberNews) -> Vec<MemberNews> {
         self.by_incarnation
             .values_mut()
@@ -97,7 +99,7 @@
                 member.news.instance == newer.instance
                     || member.news.peer_address == newer.peer_address
             })
-            .filter(|member| !member.linked || member.silent_ms(now) > SUSPECT_AFTER_MS)
+            .filter(|member| !member.linked || member.silent_ms(now) > SUSPECT_TIMEOUT_MS)
             .map(|member| {
                 member.set_state(now, MemberState::Dead);
                 member.news.clone()
@@ -105,28 +107,29 @@
             .collect()
     }
 
-    /// Notes that a link is closed: on purpose, or by a failure, in which case silence counts.
+    /// Records that a link closed. If it was closed by a failure and not on purpose, the silence of
+    /// the peer keeps being judged by the link's short timeout.
     pub fn unlinked(&mut self, peer: Incarnation, on_purpose: bool) {
         if let Some(member) = self.by_incarnation.get_mut(&peer) {
             member.linked = false;
-            member.watched &= !on_purpose;
+            member.judged_by_link &= !on_purpose;
         }
     }
 
-    /// Notes that something came over the link.
+    /// Records that a frame arrived over the peer's link.
     pub fn heard(&mut self, now: MonoMs, peer: Incarnation) {
         if let Some(member) = self.by_incarnation.get_mut(&peer) {
-            member.sign_of_life(now);
+            member.record_sign_of_life(now);
         }
     }
 
-    /// Takes in what is told of a daemon.
+    /// Merges an update about any daemon, this one included.
     pub fn merge(&mut self, now: MonoMs, news: &MemberNews) -> Told {
         if news.incarnation == self.own.incarnation {
-            return self.told_of_own(news);
+            return self.merge_own(news);
         }
         match self.by_incarnation.entry(news.incarnation) {
-            // A suspicion of a daemon that isn't known would bring a forgotten one back.
+            // Adding an unknown daemon as suspect would bring an evicted one back.
             Entry::Vacant(_) if news.state == MemberState::Suspect => Told::Known,
             Entry::Vacant(vacant) => {
                 vacant.insert(Member::new(now, news));
@@ -135,25 +138,26 @@
             Entry::Occupied(mut occupied) => {
                 let member = occupied.get_mut();
                 let held = (member.news.version, member.news.state);
-                let is_over = member.news.state == MemberState::Dead;
-                if is_over
+                let is_dead = member.news.state == MemberState::Dead;
+                if is_dead
                     || (news.state != MemberState::Dead && (news.version, news.state) <= held)
                 {
                     return Told::Known;
                 }
                 if news.state == MemberState::Alive {
-                    // It spoke through others: they judge it, until it is linked again.
-                    member.sign_of_life(now);
-                    member.watched = member.linked;
+                    // Its refutation came through other daemons, so those judge it until a link to
+                    // it opens.
+                    member.record_sign_of_life(now);
+                    member.judged_by_link = member.linked;
                 }
                 member.news = news.clone();
-                member.since = now;
+                member.state_since = now;
                 Told::News
             }
         }
     }
 
-    fn told_of_own(&mut self, news: &MemberNews) -> Told {
+    fn merge_own(&mut self, news: &MemberNews) -> Told {
         match news.state {
             MemberState::Dead => Told::Superseded,
             MemberState::Suspect if news.version >= self.own.version => {
@@ -164,53 +168,54 @@
         }
     }
 
-    /// Whether this process was paused since it last asked.
+    /// Returns whether this process was paused between the last call and this one.
     pub fn was_paused(&mut self, now: MonoMs) -> bool {
-        self.health.tick(now)
+        self.local_health.tick(now)
     }
 
-    /// Judges silence. Returns what is to be told.
+    /// Applies the silence timeouts to all members. Returns the updates to announce.
     pub fn tick(&mut self, now: MonoMs) -> Vec<MemberNews> {
-        let doubt = self.health.doubt();
-        let mut told = Vec::new();
+        let penalty = self.local_health.penalty();
+        let mut changes = Vec::new();
         self.by_incarnation
-            .retain(|_, member| match member.judge(now, doubt) {
-                Verdict::Stays => true,
-                Verdict::Forgotten => member.linked,
-                Verdict::Becomes(state) => {
+            .retain(|_, member| match member.evaluate(now, penalty) {
+                Verdict::Keep => true,
+                Verdict::Evict => member.linked,
+                Verdict::Change(state) => {
                     member.set_state(now, state);
-                    told.push(member.news.clone());
+                    changes.push(member.news.clone());
                     true
                 }
             });
-        told
+        changes
     }
 
-    /// This daemon was paused: it has heard nobody, and that is its own fault. All others get their
-    /// whole time again, and more of it for a while.
+    /// Handles a pause of this process, during which it could hear nobody: all silence is counted
+    /// afresh, and timeouts are longer for a while.
     pub fn doubt_all(&mut self, now: MonoMs) {
-        self.health.doubt_more(now);
+        self.local_health.add_penalty(now);
         for member in self.by_incarnation.values_mut() {
-            member.excused = now;
+            member.silence_reset_at = now;
         }
     }
 
-    /// A stamp for each daemon that is held to be alive and was heard of lately, and for this one.
+    /// Returns a stamp for this daemon and for each one that is considered alive and showed a
+    /// recent sign of life.
     pub fn stamps(&self, now: MonoMs) -> Vec<MemberStamp> {
-        const BEAT_MS: u64 = 1_000;
-        let own = stamp(&self.own, now.0 / BEAT_MS);
+        const BEAT_UNIT_MS: u64 = 1_000;
+        let own = stamp(&self.own, now.0 / BEAT_UNIT_MS);
         let others = self
             .fresh(now)
-            .map(|member| stamp(&member.news, member.beat));
+            .map(|member| stamp(&member.news, member.highest_beat));
         std::iter::once(own).chain(others).collect()
     }
 
-    /// The daemons of which a sign of life came of late.
+    /// Returns the daemons with a recent sign of life.
     pub fn fresh(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
         self.iter().filter(move |member| member.is_fresh(now))
     }
 
-    /// Takes in a peer's stamps. Returns what the peer lacks.
+    /// Applies a peer's stamps. Returns the updates that the peer lacks.
     pub fn take_stamps(&mut self, now: MonoMs, stamps: &[MemberStamp]) -> Vec<MemberNews> {
         let by_short: HashMap<u64, &MemberStamp> =
             stamps.iter().map(|stamp| (stamp.short, stamp)).collect();
@@ -219,12 +224,12 @@
             let short = MemberStamp::short_of(member.news.incarnation);
             let lacks = match by_short.get(&short) {
                 Some(stamp) => {
-                    if stamp.beat > member.beat {
-                        member.beat = stamp.beat;
-                        member.sign_of_life(now);
+                    if stamp.beat > member.highest_beat {
+                        member.highest_beat = stamp.beat;
+                        member.record_sign_of_life(now);
                     }
-                    let over = !member.is_alive() && stamp.version <= member.news.version;
-                    over || stamp.version < member.news.version
+                    let outdated = !member.is_alive() && stamp.version <= member.news.version;
+                    outdated || stamp.version < member.news.version
                 }
                 None => member.is_fresh(now),
             };
@@ -235,17 +240,17 @@
         lacking
     }
 
-    /// A daemon by incarnation.
+    /// Returns a daemon by incarnation; `None` if unknown or evicted.
     pub fn get(&self, incarnation: Incarnation) -> Option<&Member> {
         self.by_incarnation.get(&incarnation)
     }
 
-    /// The daemons that are held to be alive.
+    /// Returns the daemons that are considered alive.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.iter().filter(|member| member.is_alive())
     }
 
-    /// All daemons known, the dead ones that are still remembered among them.
+    /// Returns all known daemons, including suspected and dead ones that aren't evicted yet.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.by_incarnation.values()
     }
--- a/crates/core/src/fleet/members/member.rs
+++ b/crates/core/src/fleet/members/member.rs
@@ -6,47 +6,50 @@
     },
 };
 
-/// Silence after which a linked daemon is suspected, in ms: six heartbeats. Three of them pass
-/// before a fresh connection is tried, three more may.
-pub(super) const SUSPECT_AFTER_MS: u64 = 3_000;
-/// Time without a sign of life through others after which a daemon without a link is suspected, in
-/// ms. Stamps go to one link each five seconds and need about eight passes to reach all.
-const STALE_AFTER_MS: u64 = 120_000;
-/// Further silence after which a daemon that was leaving is dead, in ms.
-const GONE_AFTER_MS: u64 = 10_000;
-/// Time after which a suspected or dead daemon is forgotten, in ms. Longer than any statement that
-/// it is alive can travel, so that none brings it back: each daemon passes one on for at most
-/// [`STALE_AFTER_MS`] after it saw a sign of life, and within the first tenth of that to each link.
-const FORGET_AFTER_MS: u64 = 900_000;
+/// Silence after which a linked daemon is suspected, in ms. Six heartbeats: the link is renewed
+/// after three, which leaves three for the new connection.
+pub(super) const SUSPECT_TIMEOUT_MS: u64 = 3_000;
+/// Time without a sign of life through other daemons after which a daemon without a link is
+/// suspected, in ms. Stamps go to one link every five seconds and need about eight hops to reach
+/// all daemons.
+const UNLINKED_SUSPECT_TIMEOUT_MS: u64 = 120_000;
+/// Silence, beyond the suspicion timeout, after which a leaving daemon is declared dead, in ms.
+const LEAVING_DEAD_TIMEOUT_MS: u64 = 10_000;
+/// Time after which a suspected or dead daemon is evicted, in ms. It exceeds the time for which any
+/// update that says it is alive can circulate, so that none adds it again: each daemon passes one
+/// on for at most [`UNLINKED_SUSPECT_TIMEOUT_MS`] after it saw a sign of life, and within the first
+/// tenth of that to each link.
+const EVICT_TIMEOUT_MS: u64 = 900_000;
 
-/// Another daemon.
+/// State of another daemon as seen by this one.
 #[derive(Debug, Clone)]
 pub struct Member {
-    /// What is told of it.
+    /// Latest update about it.
     pub news: MemberNews,
-    /// When it was last heard from, over its link or through others.
+    /// Time of the last sign of life, over its link or through other daemons.
     pub heard: MonoMs,
-    /// Silence up to here is this daemon's own fault: it was paused.
-    pub(super) excused: MonoMs,
-    /// Whether a link to it is open.
+    /// Silence before this time isn't counted, since this process was paused.
+    pub(super) silence_reset_at: MonoMs,
+    /// Whether this daemon has an open link to it.
     pub linked: bool,
-    /// Whether its silence is judged here by the link: from the time the link opened until it was
-    /// closed on purpose, or until the daemon contradicted a suspicion through others.
-    pub(super) watched: bool,
-    /// Highest beat that was told of it.
-    pub(super) beat: u64,
-    /// When a sign of its life last came, to decide whether it is passed on as alive.
-    pub(super) vouched: MonoMs,
-    /// When its state last changed.
-    pub(super) since: MonoMs,
+    /// Whether the link's short silence timeout applies: from the time the link opened until it was
+    /// closed on purpose, or until the daemon refuted a suspicion through others.
+    pub(super) judged_by_link: bool,
+    /// Highest beat seen in a stamp of it; a higher one is a sign of life.
+    pub(super) highest_beat: u64,
+    /// Time of the last sign of life, unaffected by pauses of this process; decides whether others
+    /// are told that it is alive.
+    pub(super) confirmed_alive_at: MonoMs,
+    /// Time of the last change of its state; suspected and dead members are evicted by it.
+    pub(super) state_since: MonoMs,
 }
 
-/// What becomes of a member as time goes on.
+/// Result of applying the silence timeouts to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
-    Stays,
-    Becomes(MemberState),
-    Forgotten,
+    Keep,
+    Change(MemberState),
+    Evict,
 }
 
 impl Member {
@@ -54,64 +57,64 @@
         Self {
             news: news.clone(),
             heard: now,
-            excused: now,
+            silence_reset_at: now,
             linked: false,
-            watched: false,
-            beat: 0,
-            vouched: now,
-            since: now,
+            judged_by_link: false,
+            highest_beat: 0,
+            confirmed_alive_at: now,
+            state_since: now,
         }
     }
 
-    /// Failure domain it stands in.
+    /// Returns the failure domain that it announced.
     pub fn domain(&self) -> &FailureDomain {
         &self.news.failure_domain
     }
 
-    /// Whether it is held to be alive.
+    /// Returns whether it is considered alive: neither leaving, suspected nor dead.
     pub fn is_alive(&self) -> bool {
         self.news.state == MemberState::Alive
     }
 
-    pub(super) fn sign_of_life(&mut self, now: MonoMs) {
+    pub(super) fn record_sign_of_life(&mut self, now: MonoMs) {
         self.heard = now;
-        self.vouched = now;
+        self.confirmed_alive_at = now;
     }
 
-    /// Whether it was heard of so lately that others are told it is alive.
+    /// Returns whether its last sign of life is recent enough to tell others that it is alive.
     pub(super) fn is_fresh(&self, now: MonoMs) -> bool {
-        self.is_alive() && now.since(self.vouched) < STALE_AFTER_MS
+        self.is_alive() && now.since(self.confirmed_alive_at) < UNLINKED_SUSPECT_TIMEOUT_MS
     }
 
     pub(super) fn set_state(&mut self, now: MonoMs, state: MemberState) {
         self.news.state = state;
-        self.since = now;
+        self.state_since = now;
     }
 
-    /// How long it has been silent by a fault of its own or of the path to it, in ms.
+    /// Returns for how long it has been silent, in ms, not counting pauses of this process.
     pub(super) fn silent_ms(&self, now: MonoMs) -> u64 {
-        now.since(self.heard.max(self.excused))
+        now.since(self.heard.max(self.silence_reset_at))
     }
 
-    /// Judges the member's silence. `doubt` lengthens what this daemon grants to others when it has
-    /// reason to mistrust itself.
-    pub(super) fn judge(&self, now: MonoMs, doubt: u64) -> Verdict {
+    /// Applies the silence timeouts. `penalty` comes from the local health and lengthens the link's
+    /// timeout while this daemon's own view is unreliable.
+    pub(super) fn evaluate(&self, now: MonoMs, penalty: u64) -> Verdict {
         let silent_ms = self.silent_ms(now);
-        let in_state_ms = now.since(self.since);
-        let allowed_ms = if self.watched {
-            SUSPECT_AFTER_MS * (1 + doubt)
+        let in_state_ms = now.since(self.state_since);
+        let allowed_ms = if self.judged_by_link {
+            SUSPECT_TIMEOUT_MS * (1 + penalty)
         } else {
-            STALE_AFTER_MS
+            UNLINKED_SUSPECT_TIMEOUT_MS
         };
         match self.news.state {
-            MemberState::Alive if silent_ms > allowed_ms => Verdict::Becomes(MemberState::Suspect),
-            MemberState::Leaving if silent_ms > allowed_ms + GONE_AFTER_MS => {
-                Verdict::Becomes(MemberState::Dead)
+            MemberState::Alive if silent_ms > allowed_ms => Verdict::Change(MemberState::Suspect),
+            MemberState::Leaving if silent_ms > allowed_ms + LEAVING_DEAD_TIMEOUT_MS => {
+                Verdict::Change(MemberState::Dead)
             }
-            MemberState::Suspect | MemberState::Dead if in_state_ms > FORGET_AFTER_MS => {
-                Verdict::Forgotten
+            MemberState::Suspect | MemberState::Dead if in_state_ms > EVICT_TIMEOUT_MS => {
+                Verdict::Evict
             }
-            _ => Verdict::Stays,
+            _ => Verdict::Keep,
         }
     }
 }
--- a/crates/core/src/fleet/prefill_cost.rs
+++ b/crates/core/src/fleet/prefill_cost.rs
@@ -1,16 +1,17 @@
-/// Time to read a prompt at an engine: each token takes its time, and so does its attention to each
-/// token before it, which makes a million tokens far worse than a thousand times a thousand.
+/// Prefill cost model of an engine: linear time per token, plus attention time for each pair of a
+/// token and one before it. The second part is why a million tokens cost far more than a thousand
+/// prompts of a thousand.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefillCost {
-    /// Time for a token, in ms.
+    /// Time per token, in ms.
     pub token_ms: f64,
-    /// Time for a token's attention to one before it, in ms.
+    /// Attention time per pair of tokens, in ms.
     pub pair_ms: f64,
 }
 
 impl PrefillCost {
-    /// Time to read `tokens` after `before` others, in ms. In a group each of the `engines` does
-    /// the attention to the part that it holds.
+    /// Returns the time to prefill `tokens` tokens that follow `before` earlier ones, in ms. In a
+    /// group each of the `engines` computes the attention to its own part of the prompt.
     pub fn read_ms(&self, before: u64, tokens: u64, engines: usize) -> f64 {
         let tokens = tokens as f64;
         let pairs = tokens * (before as f64 + tokens / 2.0);
@@ -18,34 +19,35 @@
     }
 }
 
-/// A prompt that was read, and how long it took.
+/// A measured prefill, from which the cost model learns.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReadSample {
-    /// Its tokens.
+    /// Prompt length, in tokens.
     pub tokens: u64,
-    /// Engines that read it.
+    /// Number of engines that prefilled it together.
     pub engines: usize,
-    /// How long it took, in ms.
+    /// Time from sending to the first token, in ms.
     pub took_ms: f64,
 }
 
-/// Part of what was learnt that is kept with each further sample.
-const KEEP: f64 = 0.98;
-/// Samples of its own against which the other targets' count as much.
-const FLEET_SAMPLES: f64 = 4.0;
-/// Weight of the record's word on the rate, in samples.
-const STATED_SAMPLES: f64 = 1.0;
-/// Weight of the first guess at the attention's part, in samples: little, since nobody states it.
-const GUESS_SAMPLES: f64 = 0.05;
-/// Length of a prompt whose attention is guessed to take as long as the rest, in ms at the stated
-/// rate.
-const GUESS_EVEN_MS: f64 = 10_000.0;
+/// Factor by which older samples lose weight with each new one.
+const SAMPLE_DECAY: f64 = 0.98;
+/// Total weight of the fleet's samples in a target's own fit, in samples of the target.
+const FLEET_WEIGHT_SAMPLES: f64 = 4.0;
+/// Weight of the rate that the target's record states, in samples.
+const RECORD_WEIGHT_SAMPLES: f64 = 1.0;
+/// Weight of the prior for the attention part, in samples. It is low, since no record states this
+/// part.
+const ATTENTION_PRIOR_SAMPLES: f64 = 0.05;
+/// Prompt length, in ms at the stated rate, at which the prior assumes attention to take as long as
+/// the linear part.
+const ATTENTION_PRIOR_MS: f64 = 10_000.0;
 
-/// Least squares over samples, each weighted by its length, so that the time for a token counts the
-/// same whether it was seen on a short or a long prompt, on a fast target or a slow one.
+/// Weighted least squares fit of [`PrefillCost`]. Each sample is weighted by its length, so that
+/// the time per token counts the same for short and long prompts and for fast and slow targets.
 ///
-/// Lengths are in ms at the rate that the target's record states, so that samples of unlike targets
-/// can be put together.
+/// Lengths are in ms at the rate that the target's record states, which makes samples of different
+/// targets comparable.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CostSums {
     weight: f64,
@@ -57,21 +59,21 @@
 }
 
 impl CostSums {
-    /// What is taken to hold before anything was learnt.
+    /// Returns the prior: the stated rate, and a guess at the attention part.
     pub fn stated() -> Self {
         let mut sums = Self::default();
-        sums.add(1.0, 0.0, 1.0, STATED_SAMPLES);
-        let square = GUESS_EVEN_MS * GUESS_EVEN_MS / 2.0;
-        let by = GUESS_SAMPLES / (GUESS_EVEN_MS * GUESS_EVEN_MS);
-        sums.add(0.0, square, GUESS_EVEN_MS, by);
+        sums.add(1.0, 0.0, 1.0, RECORD_WEIGHT_SAMPLES);
+        let square = ATTENTION_PRIOR_MS * ATTENTION_PRIOR_MS / 2.0;
+        let weight = ATTENTION_PRIOR_SAMPLES / (ATTENTION_PRIOR_MS * ATTENTION_PRIOR_MS);
+        sums.add(0.0, square, ATTENTION_PRIOR_MS, weight);
         sums
     }
 
-    /// Takes in a sample of a target whose record states `tokens_per_s`.
+    /// Adds a sample of a target whose record states `tokens_per_s`.
     pub fn learn(&mut self, sample: &ReadSample, tokens_per_s: u64) {
         let linear = sample.tokens as f64 * stated_token_ms(tokens_per_s);
         let square = linear * linear / 2.0 / sample.engines as f64;
-        self.fade();
+        self.decay();
         self.add(
             linear,
             square,
@@ -80,39 +82,39 @@
         );
     }
 
-    fn fade(&mut self) {
-        let keep = |sum: &mut f64| *sum *= KEEP;
-        keep(&mut self.weight);
-        keep(&mut self.linear_2);
-        keep(&mut self.linear_square);
-        keep(&mut self.square_2);
-        keep(&mut self.linear_took);
-        keep(&mut self.square_took);
+    fn decay(&mut self) {
+        let decay = |sum: &mut f64| *sum *= SAMPLE_DECAY;
+        decay(&mut self.weight);
+        decay(&mut self.linear_2);
+        decay(&mut self.linear_square);
+        decay(&mut self.square_2);
+        decay(&mut self.linear_took);
+        decay(&mut self.square_took);
     }
 
-    fn add(&mut self, linear: f64, square: f64, took: f64, by: f64) {
+    fn add(&mut self, linear: f64, square: f64, took_ms: f64, sample_weight: f64) {
         self.weight += 1.0;
-        self.linear_2 += by * linear * linear;
-        self.linear_square += by * linear * square;
-        self.square_2 += by * square * square;
-        self.linear_took += by * linear * took;
-        self.square_took += by * square * took;
+        self.linear_2 += sample_weight * linear * linear;
+        self.linear_square += sample_weight * linear * square;
+        self.square_2 += sample_weight * square * square;
+        self.linear_took += sample_weight * linear * took_ms;
+        self.square_took += sample_weight * square * took_ms;
     }
 
-    /// These sums with those of the whole fleet, scaled down to a few samples.
+    /// Returns these sums plus the fleet's, scaled down to [`FLEET_WEIGHT_SAMPLES`].
     fn with_fleet(&self, fleet: &Self) -> Self {
-        let part = FLEET_SAMPLES.min(fleet.weight) / fleet.weight.max(f64::MIN_POSITIVE);
+        let scale = FLEET_WEIGHT_SAMPLES.min(fleet.weight) / fleet.weight.max(f64::MIN_POSITIVE);
         Self {
-            weight: self.weight + fleet.weight * part,
-            linear_2: self.linear_2 + fleet.linear_2 * part,
-            linear_square: self.linear_square + fleet.linear_square * part,
-            square_2: self.square_2 + fleet.square_2 * part,
-            linear_took: self.linear_took + fleet.linear_took * part,
-            square_took: self.square_took + fleet.square_took * part,
+            weight: self.weight + fleet.weight * scale,
+            linear_2: self.linear_2 + fleet.linear_2 * scale,
+            linear_square: self.linear_square + fleet.linear_square * scale,
+            square_2: self.square_2 + fleet.square_2 * scale,
+            linear_took: self.linear_took + fleet.linear_took * scale,
+            square_took: self.square_took + fleet.square_took * scale,
         }
     }
 
-    /// The cost that fits these samples and the fleet's best.
+    /// Returns the cost that fits these samples and the fleet's best.
     pub fn cost(&self, fleet: &Self, tokens_per_s: u64) -> PrefillCost {
         let sums = self.with_fleet(fleet);
         let det = sums.linear_2 * sums.square_2 - sums.linear_square * sums.linear_square;
@@ -120,7 +122,8 @@
             (sums.linear_took * sums.square_2 - sums.square_took * sums.linear_square) / det;
         let square =
             (sums.square_took * sums.linear_2 - sums.linear_took * sums.linear_square) / det;
-        // Neither part is ever negative; if the fit says so, the other one explains it all.
+        // Neither part can be negative; if the fit makes one so, the other part explains all
+        // samples.
         let (linear, square) = if !linear.is_finite() || linear <= 0.0 {
             (sums.linear_took / sums.linear_2.max(f64::MIN_POSITIVE), 0.0)
         } else if square < 0.0 {
--- a/crates/core/src/fleet/target_state.rs
+++ b/crates/core/src/fleet/target_state.rs
@@ -10,37 +10,38 @@
     },
 };
 
-/// What is known of a target beyond its record.
+/// Runtime state of a target: what its record doesn't say.
 #[derive(Debug, Clone)]
 pub struct TargetState {
-    /// Its current run, once known.
+    /// Current run; `None` until it is known, and again after too many missed reports.
     pub incarnation: Option<Incarnation>,
-    /// Its address: from the list if it is listed, else from its record.
+    /// Address from its record.
     pub address: SocketAddr,
-    /// What this run is held to be. Only grows within one incarnation.
+    /// Health of the current run. It only gets worse within one incarnation.
     pub health: TargetHealth,
-    /// Its last load report.
+    /// Last load report of the current run.
     pub report: Option<LoadReport>,
-    /// When the report came.
+    /// Arrival time of the last report.
     pub reported: MonoMs,
-    /// When a report was last asked for.
+    /// Time at which a report was last requested; `None` before the first request.
     pub asked: Option<MonoMs>,
-    /// Requests of this daemon in flight there.
+    /// Requests of this daemon that are in flight there.
     pub in_flight: u32,
-    /// Reads in a row that it didn't answer.
+    /// Consecutive report requests without an answer.
     pub misses: u32,
-    /// What waits there.
+    /// Queued and remaining work.
     pub load: LoadBook,
-    /// Time that it takes to read a prompt, as learnt.
+    /// Prefill cost as learned from samples so far.
     pub cost: PrefillCost,
     stated_tokens_per_s: u64,
     learnt: CostSums,
 }
 
 impl TargetState {
-    /// A target of which only the record is known; `fleet` is what others taught.
+    /// Creates a target of which only the record is known. `fleet` gives the cost learned on other
+    /// targets.
     pub fn new(record: &TargetRecord, fleet: &CostSums) -> Self {
-        let stated_tokens_per_s = stated_rate(record);
+        let stated_tokens_per_s = record_rate(record);
         let learnt = CostSums::default();
         Self {
             incarnation: None,
@@ -58,20 +59,22 @@
         }
     }
 
-    /// Follows the record of the target.
+    /// Applies a changed record: its address and stated rate.
     pub fn follow(&mut self, record: &TargetRecord) {
         self.address = record.address;
-        self.stated_tokens_per_s = stated_rate(record);
+        self.stated_tokens_per_s = record_rate(record);
     }
 
-    /// Learns from a prompt that was read there, and teaches the others' first guess.
+    /// Adds a prefill sample to this target's cost and to the fleet's, which is the first estimate
+    /// for targets without samples.
     pub fn learn(&mut self, sample: &ReadSample, fleet: &mut CostSums) {
         self.learnt.learn(sample, self.stated_tokens_per_s);
         fleet.learn(sample, self.stated_tokens_per_s);
         self.cost = self.learnt.cost(fleet, self.stated_tokens_per_s);
     }
 
-    /// Notes the run that answers at the address. A new run starts afresh.
+    /// Records which run answers at the address. A new run starts without load and with fresh
+    /// health.
     pub fn seen_as(&mut self, incarnation: Incarnation) {
         if self.incarnation == Some(incarnation) {
             return;
@@ -82,7 +85,7 @@
         self.load = LoadBook::default();
     }
 
-    /// Worsens the health of the run `incarnation`; never betters it. Returns whether it changed.
+    /// Worsens the health of the run `incarnation`; never improves it. Returns whether it changed.
     pub fn worsen(&mut self, incarnation: Incarnation, health: TargetHealth) -> bool {
         if self.incarnation != Some(incarnation) || self.health >= health {
             return false;
@@ -91,13 +94,13 @@
         true
     }
 
-    /// Whether new work may be sent.
+    /// Returns whether new requests may be sent: its run is known and serving.
     pub fn takes_work(&self) -> bool {
         self.incarnation.is_some() && self.health == TargetHealth::Serving
     }
 }
 
-fn stated_rate(record: &TargetRecord) -> u64 {
+fn record_rate(record: &TargetRecord) -> u64 {
     match &record.role {
         TargetRole::Engine {
             prefill_tokens_per_s,
--- a/crates/core/src/fleet/targets.rs
+++ b/crates/core/src/fleet/targets.rs
@@ -10,75 +10,77 @@
     },
 };
 
-/// Reads in a row without an answer after which a target gets nothing new.
-const MISSES_BEFORE_GONE: u32 = 3;
+/// Consecutive report requests without an answer after which a target gets no new requests.
+const MISSED_REPORTS_UNTIL_GONE: u32 = 3;
 
-/// The targets that the records name, in the order of their names.
+/// The targets that records name, sorted by name and addressed by index.
 #[derive(Debug)]
 pub struct Targets {
     states: Vec<(TargetName, TargetState)>,
-    places: HashMap<TargetName, usize>,
+    index_by_name: HashMap<TargetName, usize>,
     epoch: u64,
-    learnt: CostSums,
+    fleet_cost: CostSums,
 }
 
 impl Default for Targets {
     fn default() -> Self {
         Self {
             states: Vec::new(),
-            places: HashMap::new(),
+            index_by_name: HashMap::new(),
             epoch: 0,
-            learnt: CostSums::stated(),
+            fleet_cost: CostSums::stated(),
         }
     }
 }
 
 impl Targets {
-    /// Follows the records: adds targets that they name, drops others. Places change.
+    /// Applies the records in force: adds targets that they name and drops the others. Indices
+    /// change.
     pub fn follow(&mut self, in_force: &InForce) {
-        let mut before: HashMap<TargetName, TargetState> = self.states.drain(..).collect();
+        let mut previous: HashMap<TargetName, TargetState> = self.states.drain(..).collect();
         self.states = in_force
             .targets()
             .map(|record| {
-                let known = before.remove(&record.target);
-                let mut state = known.unwrap_or_else(|| TargetState::new(record, &self.learnt));
+                let state = previous.remove(&record.target);
+                let mut state = state.unwrap_or_else(|| TargetState::new(record, &self.fleet_cost));
                 state.follow(record);
                 (record.target.clone(), state)
             })
             .collect();
         let names = self.states.iter().map(|(name, _)| name.clone());
-        self.places = names.zip(0..).collect();
+        self.index_by_name = names.zip(0..).collect();
         self.epoch += 1;
     }
 
-    /// Changes whenever places or records of targets may have.
+    /// Returns a counter that grows whenever indices or records of targets may have changed.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Where a target stands; holds until [`Self::epoch`] changes.
+    /// Returns the index of a target, valid until [`Self::epoch`] changes.
     pub fn place(&self, target: &TargetName) -> Option<usize> {
-        self.places.get(target).copied()
+        self.index_by_name.get(target).copied()
     }
 
-    /// The target at a place.
-    pub fn at(&self, place: usize) -> &TargetState {
-        &self.states[place].1
+    /// Returns the target at an index; panics if there is none.
+    pub fn at(&self, index: usize) -> &TargetState {
+        &self.states[index].1
     }
 
-    /// The name of the target at a place.
-    pub fn name_at(&self, place: usize) -> &TargetName {
-        &self.states[place].0
+    /// Returns the name of the target at an index; panics if there is none.
+    pub fn name_at(&self, index: usize) -> &TargetName {
+        &self.states[index].0
     }
 
-    /// Learns from a prompt that a target read.
+    /// Adds a prefill sample of a target; ignored if no record names it.
     pub fn learn(&mut self, target: &TargetName, sample: &ReadSample) {
-        if let Some(place) = self.places.get(target) {
-            self.states[*place].1.learn(sample, &mut self.learnt);
+        if let Some(index) = self.index_by_name.get(target) {
+            self.states[*index].1.learn(sample, &mut self.fleet_cost);
         }
     }
 
-    /// Takes in an entry of the platform's list.
+    /// Applies an entry of the platform's list. Returns whether the target was found to be leaving
+    /// by it.
     pub fn listed(&mut self, listed: &ListedTarget) -> bool {
         let Some(state) = self.get_mut(&listed.target) else {
             return false;
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Takes in a load report. Returns whether the target was found to leave by it.
+    /// Applies a load report. Returns whether the target was found to be leaving by it.
     pub fn reported(&mut self, now: MonoMs, target: &TargetName, report: LoadReport) -> bool {
         let Some(state) = self.get_mut(target) else {
             return false;
@@ -100,26 +102,27 @@
         state.seen_as(report.incarnation);
         state.misses = 0;
         state.reported = now;
-        let leaves = report.leaving && state.worsen(report.incarnation, TargetHealth::Leaving);
+        let is_leaving = report.leaving && state.worsen(report.incarnation, TargetHealth::Leaving);
         state.load.reported(now, &report, state.cost.token_ms);
         state.report = Some(report);
-        leaves
+        is_leaving
     }
 
-    /// Notes that a read got no answer. Returns whether the target is now held to be gone.
+    /// Counts a report request without an answer. Returns whether the target is now considered
+    /// gone.
     pub fn missed(&mut self, target: &TargetName) -> bool {
         let Some(state) = self.get_mut(target) else {
             return false;
         };
         state.misses += 1;
-        if state.misses < MISSES_BEFORE_GONE {
+        if state.misses < MISSED_REPORTS_UNTIL_GONE {
             return false;
         }
-        // The run is forgotten, not marked: the same run may answer again after a partition.
+        // The run is cleared instead of marked dead: it may answer again after a partition.
         state.incarnation.take().is_some()
     }
 
-    /// Worsens the health of a run. Returns whether it was news.
+    /// Worsens the health of a run. Returns whether it changed.
     pub fn worsen(
         &mut self,
         target: &TargetName,
@@ -130,11 +133,16 @@
             .is_some_and(|state| state.worsen(incarnation, health))
     }
 
-    /// Targets whose next report is due, with their addresses; notes that it is asked for.
+    /// Returns the targets whose next report is due, with their addresses, and records the request.
+    /// `every_ms` is the time between two requests.
     pub fn due_for_report(&mut self, now: MonoMs, every_ms: u64) -> Vec<(TargetName, SocketAddr)> {
         self.states
             .iter_mut()
-            .filter(|(_, state)| state.asked.is_none_or(|asked| now.since(asked) >= every_ms))
+            .filter(|(_, state)| {
+                state
+                    .asked
+                    .is_none_or(|requested_at| now.since(requested_at) >= every_ms)
+            })
             .map(|(name, state)| {
                 state.asked = Some(now);
                 (name.clone(), state.address)
@@ -142,18 +150,18 @@
             .collect()
     }
 
-    /// A target by name.
+    /// Returns a target by name; `None` if no record names it.
     pub fn get(&self, target: &TargetName) -> Option<&TargetState> {
-        self.place(target).map(|place| self.at(place))
+        self.place(target).map(|index| self.at(index))
     }
 
-    /// A target by name, to note work sent and ended.
+    /// Returns a target by name, to record prompts sent and ended.
     pub fn get_mut(&mut self, target: &TargetName) -> Option<&mut TargetState> {
-        let place = self.place(target)?;
-        Some(&mut self.states[place].1)
+        let index = self.place(target)?;
+        Some(&mut self.states[index].1)
     }
 
-    /// All targets by name.
+    /// Returns all targets with their names, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&TargetName, &TargetState)> {
         self.states.iter().map(|(name, state)| (name, state))
     }
--- a/crates/core/src/fleet/watchers.rs
+++ b/crates/core/src/fleet/watchers.rs
@@ -4,26 +4,29 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A failure domain with at most so many daemons has them all watch the platform.
-const ALL_WATCH: usize = 4;
-/// Watchers in a larger failure domain: two, so that one may die.
-const WATCHERS: usize = 2;
+/// Largest number of daemons in a failure domain of which all watch the platform.
+const MAX_ALL_WATCH_DAEMONS: usize = 4;
+/// Watchers in a larger failure domain: two, so that one may fail.
+const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// Who watches the platform: the daemons whose incarnations hash highest in their failure domain.
-/// Each works it out for itself. Views that differ for a while give a watcher too many or too few;
-/// safety doesn't rest on it, since the others still read now and then.
+/// Election of the daemons that watch the platform: those whose incarnations hash highest in their
+/// failure domain.
+///
+/// Each daemon computes it from its own membership view. While views differ there may be too many
+/// or too few watchers; safety doesn't depend on it, since the other daemons still read
+/// occasionally.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Watchers {
-    /// Whether this daemon is one.
+    /// Whether this daemon is a watcher.
     pub own: bool,
-    /// Watchers in the fleet.
+    /// Number of watchers in the fleet.
     pub count: usize,
-    /// Daemons in the fleet.
+    /// Number of daemons in the fleet that are considered alive.
     pub daemons: usize,
 }
 
 impl Watchers {
-    /// Ranks the daemons that are alive, this one among them.
+    /// Elects the watchers among the daemons that are alive; `alive` includes this daemon.
     pub fn among<'a>(
         own: Incarnation,
         alive: impl Iterator<Item = (&'a FailureDomain, Incarnation)>,
@@ -40,9 +43,9 @@
         };
         for mut domain in ranks.into_values() {
             watchers.daemons += domain.len();
-            if domain.len() > ALL_WATCH {
+            if domain.len() > MAX_ALL_WATCH_DAEMONS {
                 domain.sort_unstable();
-                domain.truncate(WATCHERS);
+                domain.truncate(WATCHERS_PER_DOMAIN);
             }
             watchers.count += domain.len();
             watchers.own |= domain.iter().any(|(_, incarnation)| *incarnation == own);
@@ -50,8 +53,9 @@
         watchers
     }
 
-    /// This daemon's share of the reads that the whole fleet may make a second. Where some don't
-    /// watch, the watchers share one half and the others the other.
+    /// Returns this daemon's share of `reads_per_s`, the reads that the whole fleet may make in a
+    /// second. Where some daemons don't watch, the watchers share one half and the others the other
+    /// half.
     pub fn share(&self, reads_per_s: f64) -> f64 {
         let others = self.daemons - self.count;
         if others == 0 {
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -1,4 +1,4 @@
-//! Links between daemons: heartbeats, news that is passed on, and agreement on the records.
+//! Links between daemons: topology, heartbeats, gossip and synchronization of records.
 
 mod link;
 mod links;
--- a/crates/core/src/peers/link.rs
+++ b/crates/core/src/peers/link.rs
@@ -3,34 +3,34 @@
     whinlatch_wire::peer::RecordSummary,
 };
 
-/// An open link.
+/// State of an open link to a peer.
 #[derive(Debug)]
 pub(super) struct Link {
     pub address: SocketAddr,
-    /// When something last came over it.
-    pub heard: MonoMs,
-    pub beats: u64,
-    pub next_beat: MonoMs,
+    /// Time of the last frame from the peer.
+    pub last_received_at: MonoMs,
+    pub beats_sent: u64,
+    pub next_beat_at: MonoMs,
     pub news: NewsQueue,
-    /// What the peer holds of the records.
+    /// The peer's summary of its records, from its last heartbeat.
     pub summary: RecordSummary,
-    /// The peer's bucket digests, as it told them with its last pull.
+    /// The peer's bucket digests, from its last pull; empty before it.
     pub buckets: Vec<u64>,
-    /// Since when neither side wants the link.
-    pub surplus_since: Option<MonoMs>,
+    /// Time since which the topology doesn't include the link; `None` while it does.
+    pub unwanted_since: Option<MonoMs>,
 }
 
 impl Link {
     pub fn new(now: MonoMs, address: SocketAddr) -> Self {
         Self {
             address,
-            heard: now,
-            beats: 0,
-            next_beat: now,
+            last_received_at: now,
+            beats_sent: 0,
+            next_beat_at: now,
             news: NewsQueue::default(),
             summary: RecordSummary::default(),
             buckets: Vec::new(),
-            surplus_since: None,
+            unwanted_since: None,
         }
     }
 }
--- a/crates/core/src/peers/links.rs
+++ b/crates/core/src/peers/links.rs
@@ -11,109 +11,110 @@
     },
 };
 
-/// Time between heartbeats, in ms.
+/// Time between heartbeats on a link, in ms.
 pub const HEARTBEAT_MS: u64 = 500;
-/// Silence after which a link is closed and a fresh one tried, in ms: three heartbeats. Something
-/// between two ends may lose track of a connection, which then stays silent for good while a new
-/// one works; so silence is held against the link before it is held against the peer.
-const SILENT_MS: u64 = 3 * HEARTBEAT_MS;
-/// Time between attempts to open one link, in ms.
-const RELINK_MS: u64 = 1_000;
-/// Time that the side with the higher address leaves to the other before it opens a link itself.
-const OPEN_ANYWAY_MS: u64 = 2_000;
-/// Time after which a link that neither side wants is closed, in ms.
-const SURPLUS_MS: u64 = 30_000;
-/// Time between two tellings of all that are alive, each over the next link, in ms.
-const STAMPS_EVERY_MS: u64 = 5_000;
-
-/// The open links, and those being opened.
+/// Silence after which a link is closed and opened again, in ms: three heartbeats. A middlebox may
+/// lose track of a connection, which then stays silent for good while a new one works; so the link
+/// is renewed before its peer is suspected.
+const LINK_SILENCE_TIMEOUT_MS: u64 = 3 * HEARTBEAT_MS;
+/// Time between attempts to open a link to one address, in ms.
+const OPEN_RETRY_MS: u64 = 1_000;
+/// Time for which the side with the higher address waits for the other to open the link, in ms.
+const PASSIVE_OPEN_DELAY_MS: u64 = 2_000;
+/// Time after which a link that the topology doesn't include is closed, in ms.
+const EXCESS_LINK_GRACE_MS: u64 = 30_000;
+/// Time between two frames with the stamps of all daemons alive, in ms. Each goes to the next link
+/// in turn.
+const STAMPS_INTERVAL_MS: u64 = 5_000;
+
+/// The open links, and the wanted ones that aren't open yet.
 #[derive(Debug, Default)]
 pub struct Links {
     open: BTreeMap<Incarnation, Link>,
-    unlinked: BTreeMap<SocketAddr, Unlinked>,
-    stamped: MonoMs,
-    last_stamped: Option<Incarnation>,
+    missing: BTreeMap<SocketAddr, MissingLink>,
+    stamps_sent_at: MonoMs,
+    last_stamps_to: Option<Incarnation>,
 }
 
 /// A wanted link that isn't open.
 #[derive(Debug)]
-struct Unlinked {
+struct MissingLink {
     since: MonoMs,
-    tried: Option<MonoMs>,
+    last_tried_at: Option<MonoMs>,
 }
 
 impl Links {
-    /// Notes an open link. A second one to the same peer takes the place of the first on both
-    /// sides: the first may be one of which something between them has lost track.
+    /// Records that a link opened. A second link to the same peer replaces the first on both sides:
+    /// the first may be one that a middlebox lost track of.
     pub fn opened(&mut self, now: MonoMs, peer: Incarnation, address: SocketAddr) {
         self.open.insert(peer, Link::new(now, address));
-        self.unlinked.remove(&address);
+        self.missing.remove(&address);
     }
 
-    /// Notes a closed link, or one that didn't open.
+    /// Records that a link closed, or failed to open.
     pub fn closed(&mut self, peer: Option<Incarnation>) {
         if let Some(peer) = peer {
             self.open.remove(&peer);
         }
     }
 
-    /// Notes that something came over a link.
+    /// Records that a frame arrived over a link.
     pub fn heard(&mut self, now: MonoMs, peer: Incarnation) {
         if let Some(link) = self.open.get_mut(&peer) {
-            link.heard = now;
+            link.last_received_at = now;
         }
     }
 
-    /// This daemon was paused; that it heard nothing is its own fault.
+    /// Restarts the silence timeout of all links, after this process was paused.
     pub fn doubt_all(&mut self, now: MonoMs) {
         for link in self.open.values_mut() {
-            link.heard = now;
+            link.last_received_at = now;
         }
     }
 
-    /// Peers whose links fell silent, to be closed and opened afresh.
+    /// Returns the peers whose links fell silent and are to be renewed.
     pub fn silent(&self, now: MonoMs) -> Vec<Incarnation> {
         self.open
             .iter()
-            .filter(|(_, link)| now.since(link.heard) > SILENT_MS)
+            .filter(|(_, link)| now.since(link.last_received_at) > LINK_SILENCE_TIMEOUT_MS)
             .map(|(peer, _)| *peer)
             .collect()
     }
 
-    /// Peers whose links neither side has wanted for a while.
+    /// Returns the peers whose links have been outside the topology for longer than the grace time.
     pub fn surplus(&mut self, now: MonoMs, wanted: &BTreeSet<SocketAddr>) -> Vec<Incarnation> {
-        let mut surplus = Vec::new();
+        let mut excess = Vec::new();
         for (peer, link) in &mut self.open {
             if wanted.contains(&link.address) {
-                link.surplus_since = None;
+                link.unwanted_since = None;
                 continue;
             }
-            let since = *link.surplus_since.get_or_insert(now);
-            if now.since(since) > SURPLUS_MS {
-                surplus.push(*peer);
+            let since = *link.unwanted_since.get_or_insert(now);
+            if now.since(since) > EXCESS_LINK_GRACE_MS {
+                excess.push(*peer);
             }
         }
-        surplus
+        excess
     }
 
-    /// The link over which all that are alive are told now, if it is time.
+    /// Returns the peer that gets the stamps of all daemons alive now; `None` if they aren't due.
     pub fn stamps_to(&mut self, now: MonoMs) -> Option<Incarnation> {
-        if now.since(self.stamped) < STAMPS_EVERY_MS {
+        if now.since(self.stamps_sent_at) < STAMPS_INTERVAL_MS {
             return None;
         }
-        let last = self.last_stamped;
+        let last = self.last_stamps_to;
         let next = self.open.keys().find(|peer| Some(**peer) > last);
         let next = *next.or_else(|| self.open.keys().next())?;
-        self.stamped = now;
-        self.last_stamped = Some(next);
+        self.stamps_sent_at = now;
+        self.last_stamps_to = Some(next);
         Some(next)
     }
 
-    /// Addresses of `wanted` to which a link should be opened now.
+    /// Returns the addresses of `wanted` to which a link should be opened now.
     ///
-    /// Of two daemons the one with the lower address opens the link, so that there is one. The
-    /// other does after a while: the first may not know it or be unable to reach it, and the two
-    /// would stay unlinked for good.
+    /// Of two daemons the one with the lower address opens the link, so that there is only one. The
+    /// other one does so after a delay: the first may not know it or be unable to reach it, and the
+    /// two would stay unlinked for good.
     pub fn to_open(
         &mut self,
         now: MonoMs,
@@ -121,38 +122,42 @@
         wanted: &BTreeSet<SocketAddr>,
     ) -> Vec<SocketAddr> {
         let open: BTreeSet<SocketAddr> = self.open.values().map(|link| link.address).collect();
-        self.unlinked
+        self.missing
             .retain(|address, _| wanted.contains(address) && !open.contains(address));
         for address in wanted.difference(&open) {
-            let unlinked = Unlinked {
+            let missing = MissingLink {
                 since: now,
-                tried: None,
+                last_tried_at: None,
             };
-            self.unlinked.entry(*address).or_insert(unlinked);
+            self.missing.entry(*address).or_insert(missing);
         }
-        self.unlinked
+        self.missing
             .iter_mut()
-            .filter(|(address, unlinked)| {
-                **address > own || now.since(unlinked.since) >= OPEN_ANYWAY_MS
+            .filter(|(address, missing)| {
+                **address > own || now.since(missing.since) >= PASSIVE_OPEN_DELAY_MS
             })
-            .filter(|(_, unlinked)| unlinked.tried.is_none_or(|t| now.since(t) >= RELINK_MS))
-            .map(|(address, unlinked)| {
-                unlinked.tried = Some(now);
+            .filter(|(_, missing)| {
+                missing
+                    .last_tried_at
+                    .is_none_or(|t| now.since(t) >= OPEN_RETRY_MS)
+            })
+            .map(|(address, missing)| {
+                missing.last_tried_at = Some(now);
                 *address
             })
             .collect()
     }
 
-    /// A link to this address fell silent: a fresh one is tried by both sides at once.
+    /// Makes a link to this address due immediately, after the old one fell silent. Both sides try.
     pub fn open_at_once(&mut self, now: MonoMs, address: SocketAddr) {
-        let unlinked = Unlinked {
-            since: MonoMs(now.0.saturating_sub(OPEN_ANYWAY_MS)),
-            tried: None,
+        let missing = MissingLink {
+            since: MonoMs(now.0.saturating_sub(PASSIVE_OPEN_DELAY_MS)),
+            last_tried_at: None,
         };
-        self.unlinked.insert(address, unlinked);
+        self.missing.insert(address, missing);
     }
 
-    /// Queues news for all links but the one it came from.
+    /// Queues news for all links except the one it came from.
     pub fn spread(&mut self, news: &News, except: Option<Incarnation>) {
         let links = self
             .open
@@ -170,22 +175,23 @@
         }
     }
 
-    /// Heartbeats that are due, with the news that waits. News of members, leaving targets and
-    /// requests that bring down targets goes at once: it has a few hops to go within seconds.
+    /// Returns the frames to send now: due heartbeats with the queued news. News of members, of
+    /// leaving targets and of requests that crash targets isn't held until the heartbeat, since it
+    /// has several hops to make within seconds.
     pub fn beats(&mut self, now: MonoMs, records: &RecordSummary) -> Vec<(Incarnation, PeerFrame)> {
         self.open
             .iter_mut()
-            .filter(|(_, link)| link.next_beat <= now || link.news.is_urgent())
+            .filter(|(_, link)| link.next_beat_at <= now || link.news.is_urgent())
             .map(|(peer, link)| {
                 let mut frame = PeerFrame {
                     news: link.news.take(),
                     ..PeerFrame::default()
                 };
-                if link.next_beat <= now {
-                    link.beats += 1;
-                    link.next_beat = now + HEARTBEAT_MS;
+                if link.next_beat_at <= now {
+                    link.beats_sent += 1;
+                    link.next_beat_at = now + HEARTBEAT_MS;
                     frame.heartbeat = Some(Heartbeat {
-                        number: link.beats,
+                        number: link.beats_sent,
                         records: records.clone(),
                     });
                 }
@@ -194,43 +200,43 @@
             .collect()
     }
 
-    /// Notes what a peer holds of the records.
+    /// Stores a peer's summary of its records.
     pub fn holds(&mut self, peer: Incarnation, summary: &RecordSummary) {
         if let Some(link) = self.open.get_mut(&peer) {
             link.summary = summary.clone();
         }
     }
 
-    /// Links that are open.
+    /// Returns the number of open links.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether no link is open.
+    /// Returns whether no link is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Peers with open links.
+    /// Returns the peers with open links.
     pub fn peers(&self) -> impl Iterator<Item = Incarnation> {
         self.open.keys().copied()
     }
 
-    /// Notes the digests of a peer's buckets.
+    /// Stores the bucket digests of a peer.
     pub fn holds_buckets(&mut self, peer: Incarnation, digests: &[u64]) {
         if let Some(link) = self.open.get_mut(&peer) {
             link.buckets = digests.to_vec();
         }
     }
 
-    /// What a peer held of the records when it last said so.
+    /// Returns the last summary of a peer's records; the summary of no records if it sent none.
     pub fn summary_of(&self, peer: Incarnation) -> RecordSummary {
         let link = self.open.get(&peer);
         link.map(|link| link.summary.clone()).unwrap_or_default()
     }
 
-    /// Peers known to hold the same in a bucket: all of it agrees, or this bucket did when the
-    /// peer last told its digests.
+    /// Returns the peers known to hold the same records in a bucket: their summary equals this
+    /// daemon's, or the bucket's digest did in their last pull.
     pub fn in_agreement(
         &self,
         records: &RecordStore,
--- a/crates/core/src/peers/news_queue.rs
+++ b/crates/core/src/peers/news_queue.rs
@@ -6,14 +6,15 @@
     },
 };
 
-/// Most subjects of one kind that wait for one link. What is over is not queued: members are
-/// repaired by stamps, targets by the list and their own reports, the rest is stated again.
-const MOST_WAITING: usize = 4_096;
-/// Most items of one kind in one frame.
-const MOST_IN_FRAME: usize = 256;
+/// Maximum number of subjects of one kind queued for one link. Updates of further subjects are
+/// dropped: members are repaired by stamps, targets by the platform's list and their own reports,
+/// and the rest is sent again periodically.
+const MAX_QUEUED_SUBJECTS: usize = 4_096;
+/// Maximum number of items of one kind in one frame.
+const MAX_ITEMS_PER_FRAME: usize = 256;
 
-/// News that waits for a link: the latest statement about each subject. A link that is slow or
-/// silent holds a bounded amount, however long it lasts.
+/// News queued for a link, with the latest update about each subject only. So a slow or silent link
+/// holds a bounded amount, however long it lasts.
 #[derive(Debug, Default)]
 pub struct NewsQueue {
     members: BTreeMap<Incarnation, MemberNews>,
@@ -24,7 +25,7 @@
 }
 
 impl NewsQueue {
-    /// Queues news; a newer statement takes the place of an older one.
+    /// Queues news; a newer update replaces an older one about the same subject.
     pub fn put(&mut self, news: &News) {
         for item in &news.members {
             put(&mut self.members, item.incarnation, item, |held| {
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Whether something waits that can't wait for the next heartbeat.
+    /// Returns whether the queue holds news that shouldn't wait for the next heartbeat.
     pub fn is_urgent(&self) -> bool {
         !(self.members.is_empty() && self.targets.is_empty() && self.poison.is_empty())
     }
 
-    /// Takes what fits into one frame.
+    /// Removes and returns what fits into one frame.
     pub fn take(&mut self) -> News {
         News {
             members: take(&mut self.members),
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Subjects that wait.
+    /// Returns the number of queued subjects.
     pub fn len(&self) -> usize {
         self.members.len()
             + self.targets.len()
@@ -81,7 +82,7 @@
             + self.poison.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether nothing is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -94,14 +95,14 @@
     is_older: impl Fn(&V) -> bool,
 ) {
     let replaces = queue.get(&subject).map(is_older);
-    if replaces.unwrap_or(queue.len() < MOST_WAITING) {
+    if replaces.unwrap_or(queue.len() < MAX_QUEUED_SUBJECTS) {
         queue.insert(subject, item.clone());
     }
 }
 
 fn take<K: Ord, V>(queue: &mut BTreeMap<K, V>) -> Vec<V> {
     let mut taken = Vec::new();
-    while taken.len() < MOST_IN_FRAME
+    while taken.len() < MAX_ITEMS_PER_FRAME
         && let Some((_, item)) = queue.pop_first()
     {
         taken.push(item);
--- a/crates/core/src/peers/record_pulls.rs
+++ b/crates/core/src/peers/record_pulls.rs
@@ -6,35 +6,36 @@
 
 /// Time without progress after which a pull is given up, in ms.
 const PULL_TIMEOUT_MS: u64 = 3_000;
-/// Most keys that are asked for at once.
-const KEYS_AT_ONCE: usize = 4_096;
+/// Maximum number of keys in one request.
+const MAX_KEYS_PER_REQUEST: usize = 4_096;
 
-/// Which records are being pulled from whom. One pull runs at a time in the whole daemon: a daemon
-/// that starts would else fetch all records over each of its links at once.
+/// Pulls of records from peers. A daemon runs one pull at a time: otherwise a starting daemon would
+/// fetch all records over each of its links simultaneously.
 #[derive(Debug, Default)]
 pub struct RecordPulls {
     current: Option<Pull>,
-    settled: BTreeMap<Incarnation, Settled>,
+    outcomes: BTreeMap<Incarnation, PullOutcome>,
 }
 
 #[derive(Debug)]
 struct Pull {
     peer: Incarnation,
-    progressed: MonoMs,
-    asked: Vec<u64>,
+    progressed_at: MonoMs,
+    requested: Vec<u64>,
     wanted: BTreeSet<u64>,
 }
 
-/// What both sides held when a pull ended. Nothing new can come of another until one changes.
-/// Guards against endless pulls between builds that keep different invalid records.
+/// What both sides held when a pull ended. Another pull can bring nothing new until one of the two
+/// changes. Guards against endless pulls between builds that keep different invalid records.
 #[derive(Debug, PartialEq, Eq)]
-struct Settled {
+struct PullOutcome {
     own: RecordSummary,
     theirs: RecordSummary,
 }
 
 impl RecordPulls {
-    /// Whether to pull from a peer now; if so, the pull has begun.
+    /// Starts a pull if the peer may have other records and no pull is running. Returns whether it
+    /// started.
     pub fn begin(
         &mut self,
         now: MonoMs,
@@ -42,89 +43,100 @@
         own: &RecordSummary,
         theirs: &RecordSummary,
     ) -> bool {
-        if own == theirs || theirs.count == 0 || self.is_settled(peer, own, theirs) {
+        if own == theirs || theirs.count == 0 || self.is_up_to_date(peer, own, theirs) {
             return false;
         }
-        let busy = self
+        let in_progress = self
             .current
             .as_ref()
-            .is_some_and(|pull| now.since(pull.progressed) < PULL_TIMEOUT_MS);
-        if busy {
+            .is_some_and(|pull| now.since(pull.progressed_at) < PULL_TIMEOUT_MS);
+        if in_progress {
             return false;
         }
         self.current = Some(Pull {
             peer,
-            progressed: now,
-            asked: Vec::new(),
+            progressed_at: now,
+            requested: Vec::new(),
             wanted: BTreeSet::new(),
         });
         true
     }
 
-    fn is_settled(&self, peer: Incarnation, own: &RecordSummary, theirs: &RecordSummary) -> bool {
-        self.settled
+    fn is_up_to_date(
+        &self,
+        peer: Incarnation,
+        own: &RecordSummary,
+        theirs: &RecordSummary,
+    ) -> bool {
+        self.outcomes
             .get(&peer)
-            .is_some_and(|settled| settled.own == *own && settled.theirs == *theirs)
+            .is_some_and(|outcome| outcome.own == *own && outcome.theirs == *theirs)
     }
 
-    /// Notes which keys a listing showed to be of use. Returns those to ask for first; none if the
-    /// pull is over or was not under way.
+    /// Stores the keys that a listing showed to be wanted. Returns those to request first; none if
+    /// nothing is wanted or no pull from this peer is running.
     pub fn listed(&mut self, now: MonoMs, peer: Incarnation, wanted: Vec<u64>) -> Vec<u64> {
-        let Some(pull) = self.of(peer) else {
+        let Some(pull) = self.pull_from(peer) else {
             return Vec::new();
         };
         pull.wanted = wanted.into_iter().collect();
-        pull.ask(now)
+        pull.next_request(now)
     }
 
-    /// Notes that something held under a key came from the peer.
+    /// Records that revisions of a key arrived from the peer.
     pub fn got(&mut self, now: MonoMs, peer: Incarnation, key_hash: u64) {
-        if let Some(pull) = self.of(peer) {
+        if let Some(pull) = self.pull_from(peer) {
             pull.wanted.remove(&key_hash);
-            pull.progressed = now;
+            pull.progressed_at = now;
         }
     }
 
-    /// Notes the end of an answer. Returns the keys to ask for next; none if the pull is over.
+    /// Handles the end of a response. Returns the keys to request next; none if the pull is
+    /// complete or no pull from this peer is running.
     pub fn answered(&mut self, now: MonoMs, peer: Incarnation) -> Vec<u64> {
-        let Some(pull) = self.of(peer) else {
+        let Some(pull) = self.pull_from(peer) else {
             return Vec::new();
         };
-        let asked = std::mem::take(&mut pull.asked);
-        let stuck = asked.iter().all(|key| pull.wanted.contains(key));
-        if stuck {
-            // The peer holds none of them any more.
-            pull.wanted.retain(|key| !asked.contains(key));
+        let requested = std::mem::take(&mut pull.requested);
+        let no_progress = requested.iter().all(|key| pull.wanted.contains(key));
+        if no_progress {
+            // The peer no longer holds any of them.
+            pull.wanted.retain(|key| !requested.contains(key));
         }
-        pull.ask(now)
+        pull.next_request(now)
     }
 
-    /// Ends the pull from a peer and remembers what both sides hold now.
+    /// Ends the pull from a peer and stores what both sides hold now.
     pub fn settle(&mut self, peer: Incarnation, own: RecordSummary, theirs: RecordSummary) {
-        if self.of(peer).is_none() {
+        if self.pull_from(peer).is_none() {
             return;
         }
         self.current = None;
-        self.settled.insert(peer, Settled { own, theirs });
+        self.outcomes.insert(peer, PullOutcome { own, theirs });
     }
 
-    /// Forgets a peer whose link is closed.
+    /// Drops the state of a peer whose link closed.
     pub fn closed(&mut self, peer: Incarnation) {
-        self.settled.remove(&peer);
-        if self.of(peer).is_some() {
+        self.outcomes.remove(&peer);
+        if self.pull_from(peer).is_some() {
             self.current = None;
         }
     }
 
-    fn of(&mut self, peer: Incarnation) -> Option<&mut Pull> {
+    fn pull_from(&mut self, peer: Incarnation) -> Option<&mut Pull> {
         self.current.as_mut().filter(|pull| pull.peer == peer)
     }
 }
 
 impl Pull {
-    fn ask(&mut self, now: MonoMs) -> Vec<u64> {
-        self.progressed = now;
-        self.asked = self.wanted.iter().take(KEYS_AT_ONCE).copied().collect();
-        self.asked.clone()
+    fn next_request(&mut self, now: MonoMs) -> Vec<u64> {
+        self.progressed_at = now;
+        self.requested = self
+            .wanted
+            .iter()
+            .take(MAX_KEYS_PER_REQUEST)
+            .copied()
+            .collect();
+        self.requested.clone()
     }
 }
--- a/crates/core/src/peers/ring.rs
+++ b/crates/core/src/peers/ring.rs
@@ -4,25 +4,25 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// Up to so many daemons each is linked to each.
+/// Largest fleet in which each daemon links to every other.
 pub const FULL_MESH: usize = 10;
-/// Daemons that each picks by hash in a larger fleet: one in each other failure domain, the rest,
-/// one at least, in its own.
-const PICKS: usize = 4;
+/// Links that each daemon picks by rendezvous hashing in a larger fleet: one in each other failure
+/// domain, and the rest, at least one, in its own.
+const RENDEZVOUS_PICKS: usize = 4;
 
-/// Where a daemon stands: its peer address and failure domain.
+/// A daemon on the ring: its peer address and failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// Hash of the address: the place on the ring.
+    /// Hash of the address, which orders the ring.
     hash: u64,
-    /// Its address for peers.
+    /// Address at which peers link to it.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain that it announced.
     pub domain: FailureDomain,
 }
 
 impl Place {
-    /// A daemon's place.
+    /// Creates the ring entry of a daemon.
     pub fn new(address: SocketAddr, domain: &FailureDomain) -> Self {
         Self {
             hash: xxh3_64(address.to_string().as_bytes()),
@@ -31,17 +31,17 @@
         }
     }
 
-    /// How much this daemon prefers another.
+    /// Returns the rendezvous weight of another daemon for this one.
     fn weight_of(&self, other: &Self) -> u64 {
         xxh3_64_with_seed(&other.hash.to_be_bytes(), self.hash)
     }
 }
 
-/// All daemons in the order of the hashes of their addresses. Which links there are follows from
-/// it alone, so that daemons with one view agree on them. Each daemon links to the next one of its
-/// failure domain, which keeps the domain in one piece, and to a few that it picks by rendezvous
-/// hashing, at least one in each failure domain, which make the ways short. The number of links
-/// doesn't grow with the fleet, and a daemon that comes or goes changes only its own.
+/// All daemons in the order of the hashes of their addresses. The links follow from it alone, so
+/// that daemons with the same view agree on them. Each daemon links to the next one of its failure
+/// domain, which keeps the domain connected, and to a few that it picks by rendezvous hashing, at
+/// least one in each failure domain, which keeps paths short. The number of links per daemon
+/// doesn't grow with the fleet, and a daemon that joins or leaves changes only its own links.
 #[derive(Debug, Default)]
 pub struct Ring {
     places: BTreeSet<Place>,
@@ -49,24 +49,24 @@
 }
 
 impl Ring {
-    /// A ring of these daemons.
+    /// Creates a ring of these daemons.
     pub fn new(places: impl IntoIterator<Item = Place>) -> Self {
         let places: BTreeSet<Place> = places.into_iter().collect();
         let domains = places.iter().map(|place| place.domain.clone()).collect();
         Self { places, domains }
     }
 
-    /// Daemons on the ring.
+    /// Returns the number of daemons on the ring.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether nobody is on the ring.
+    /// Returns whether the ring has no daemons.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// The daemons to which `own` links.
+    /// Returns the addresses of the daemons to which `own` links.
     pub fn neighbours(&self, own: &Place) -> BTreeSet<SocketAddr> {
         let others = || {
             let after = self.places.range(own..);
@@ -79,9 +79,15 @@
         let next = others().find(|place| place.domain == own.domain);
         let mut neighbours: BTreeSet<SocketAddr> =
             next.map(|place| place.address).into_iter().collect();
-        let picks_here = PICKS.saturating_sub(self.domains.len() - 1).max(1);
+        let own_domain_picks = RENDEZVOUS_PICKS
+            .saturating_sub(self.domains.len() - 1)
+            .max(1);
         for domain in &self.domains {
-            let count = if *domain == own.domain { picks_here } else { 1 };
+            let count = if *domain == own.domain {
+                own_domain_picks
+            } else {
+                1
+            };
             let mut picks: Vec<(u64, SocketAddr)> = others()
                 .filter(|place| place.domain == *domain)
                 .map(|place| (own.weight_of(place), place.address))
@@ -92,7 +98,7 @@
         neighbours
     }
 
-    /// The daemons to which `own` links and those that link to it.
+    /// Returns the addresses of the daemons that `own` links to and of those that link to it.
     pub fn linked_with(&self, own: &Place) -> BTreeSet<SocketAddr> {
         let mut linked = self.neighbours(own);
         let others = self.places.iter().filter(|place| *place != own);
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,11 +1,12 @@
-//! Configuration records: what is held, and what of it is in force.
+//! Configuration records: the revisions held, the ones in force, their exchange with peers and
+//! their reading from the platform.
 
 mod buckets;
-mod claims;
 mod exchange;
 mod full_read;
-mod held;
+mod held_record;
 mod in_force;
+mod name_index;
 mod platform_reader;
 mod read_budget;
 mod record_store;
@@ -17,4 +18,4 @@
     platform_reader::{PlatformRead, PlatformReader, ReaderRole},
     record_store::{Absent, Merge, RecordStore},
 };
-pub(crate) use {exchange::size, held::key_hash};
+pub(crate) use {exchange::size, held_record::key_hash};
--- a/crates/core/src/records/buckets.rs
+++ b/crates/core/src/records/buckets.rs
@@ -1,10 +1,10 @@
-use {super::held::key_hash, whinlatch_wire::ids::RecordKey};
+use {super::held_record::key_hash, whinlatch_wire::ids::RecordKey};
 
-/// Number of buckets over which the records are spread by the hash of their key.
+/// Number of buckets into which records are divided by the hash of their key.
 pub const BUCKETS: usize = 1_024;
 
-/// A digest for each bucket of records: the exclusive or of the hashes of all that is held in it.
-/// Two daemons that compare them find the few buckets that differ without naming each record.
+/// One digest per bucket of records: the exclusive or of the hashes of all revisions held in it.
+/// Two daemons that compare digests find the few buckets that differ without listing each record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Buckets {
     digests: Vec<u64>,
@@ -19,28 +19,28 @@
 }
 
 impl Buckets {
-    /// The bucket of a key.
+    /// Returns the bucket of a key, from the top bits of its hash.
     pub fn of(key: &RecordKey) -> usize {
         let top_bits = key_hash(key) >> (u64::BITS - BUCKETS.ilog2());
         top_bits as usize
     }
 
-    /// Adds the hash of a record to its bucket, or takes it out again.
+    /// Adds the hash of a record to its bucket, or removes it if it was added before.
     pub(super) fn toggle(&mut self, key: &RecordKey, hash: u64) {
         self.digests[Self::of(key)] ^= hash;
     }
 
-    /// The exclusive or of all.
+    /// Returns the exclusive or of all digests, which stands for all records held.
     pub fn total(&self) -> u64 {
         self.digests.iter().fold(0, |total, digest| total ^ digest)
     }
 
-    /// The digests in order.
+    /// Returns the digests, in order of the buckets.
     pub fn digests(&self) -> &[u64] {
         &self.digests
     }
 
-    /// Whether a bucket is the same in a peer's digests.
+    /// Returns whether a bucket's digest equals the peer's; false if `theirs` lacks it.
     pub fn agrees(&self, bucket: usize, theirs: &[u64]) -> bool {
         theirs.get(bucket) == self.digests.get(bucket)
     }
--- a/crates/core/src/records/exchange.rs
+++ b/crates/core/src/records/exchange.rs
@@ -1,24 +1,26 @@
-//! What two daemons tell each other of the records that they hold.
+//! Comparison and exchange of records between two daemons.
 
 use {
     super::{
         Buckets, RecordStore,
-        held::{Held, key_hash, value_hash},
+        held_record::{HeldRecord, key_hash, value_hash},
     },
     std::collections::{HashMap, HashSet},
     whinlatch_wire::{ids::RecordKey, peer::RecordStamp, record::RecordEnvelope},
 };
 
-/// Most stamps in one listing. What is over comes with the next, when these buckets agree.
+/// Maximum number of stamps in one listing. The rest comes with the next listing, once these
+/// buckets agree.
 const MAX_STAMPS: usize = 100_000;
 
 impl RecordStore {
-    /// Digests of the buckets.
+    /// Returns the digests of the buckets.
     pub fn buckets(&self) -> &Buckets {
         &self.buckets
     }
 
-    /// Stamps of all that is held in the buckets whose digests differ from a peer's.
+    /// Returns the stamps of all revisions held in the buckets whose digests differ from the
+    /// peer's.
     pub fn listing(&self, theirs: &[u64]) -> Vec<RecordStamp> {
         self.held
             .iter()
@@ -28,9 +30,10 @@
             .collect()
     }
 
-    /// Hashes of the keys of which a peer's stamps show something that is wanted here.
+    /// Returns the hashes of the keys for which a peer's stamps show a revision that may change
+    /// what is held here, in ascending order.
     pub fn wanted(&self, stamps: &[RecordStamp]) -> Vec<u64> {
-        let by_hash: HashMap<u64, &Held> = self
+        let held_by_hash: HashMap<u64, &HeldRecord> = self
             .held
             .iter()
             .map(|(key, held)| (key_hash(key), held))
@@ -38,7 +41,7 @@
         let wanted: HashSet<u64> = stamps
             .iter()
             .filter(|stamp| {
-                by_hash
+                held_by_hash
                     .get(&stamp.key_hash)
                     .is_none_or(|held| may_change(held, stamp))
             })
@@ -49,25 +52,25 @@
         wanted
     }
 
-    /// All that is held of the keys with these hashes, until `max_bytes` are reached. At least one
-    /// key is answered, so that a pull always gets on.
+    /// Returns all revisions held of the keys with these hashes, until `max_bytes` are reached. The
+    /// first key is returned whatever its size, so that a pull always makes progress.
     pub fn of_keys(&self, key_hashes: &[u64], max_bytes: usize) -> Vec<RecordEnvelope> {
-        let asked: HashSet<u64> = key_hashes.iter().copied().collect();
+        let requested: HashSet<u64> = key_hashes.iter().copied().collect();
         let mut bytes = 0;
         self.held
             .iter()
-            .filter(|(key, _)| asked.contains(&key_hash(key)))
+            .filter(|(key, _)| requested.contains(&key_hash(key)))
             .take_while(|(_, held)| {
-                let first = bytes == 0;
+                let is_first = bytes == 0;
                 bytes += held.envelopes().map(size).sum::<usize>();
-                first || bytes <= max_bytes
+                is_first || bytes <= max_bytes
             })
             .flat_map(|(_, held)| held.envelopes().cloned())
             .collect()
     }
 }
 
-/// Bytes of a record that count in a frame.
+/// Returns the bytes that a record takes in a frame, about.
 pub(crate) fn size(envelope: &RecordEnvelope) -> usize {
     /// Field names, revision and lengths.
     const FRAMING_BYTES: usize = 40;
@@ -75,7 +78,7 @@
     envelope.key.as_str().len() + value + FRAMING_BYTES
 }
 
-fn stamps(key: &RecordKey, held: &Held) -> impl Iterator<Item = RecordStamp> {
+fn stamps(key: &RecordKey, held: &HeldRecord) -> impl Iterator<Item = RecordStamp> {
     let key_hash = key_hash(key);
     held.envelopes().map(move |envelope| RecordStamp {
         key_hash,
@@ -84,22 +87,24 @@
     })
 }
 
-/// Whether the record that a stamp stands for may win over what is held.
-fn may_change(held: &Held, stamp: &RecordStamp) -> bool {
-    let known = held.envelopes().any(|envelope| is_of(envelope, stamp));
+/// Returns whether the revision that a stamp stands for may win over what is held.
+fn may_change(held: &HeldRecord, stamp: &RecordStamp) -> bool {
+    let known = held
+        .envelopes()
+        .any(|envelope| matches_stamp(envelope, stamp));
     if known || stamp.revision > held.newest.revision {
         return !known;
     }
     if stamp.revision == held.newest.revision {
         return true;
     }
-    let beats_former = held
+    let outranks_former = held
         .former
         .as_ref()
         .is_none_or(|former| stamp.revision >= former.revision);
-    held.fault.is_some() && beats_former
+    held.fault.is_some() && outranks_former
 }
 
-fn is_of(envelope: &RecordEnvelope, stamp: &RecordStamp) -> bool {
+fn matches_stamp(envelope: &RecordEnvelope, stamp: &RecordStamp) -> bool {
     envelope.revision == stamp.revision && value_hash(envelope) as u32 == stamp.value_hash
 }
--- a/crates/core/src/records/full_read.rs
+++ b/crates/core/src/records/full_read.rs
@@ -6,16 +6,16 @@
     },
 };
 
-/// Why all records are read again. The later reason includes the earlier.
+/// Reason to read all records again. The later variant includes the earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FullReason {
-    /// The platform may have gone back, or back to normal.
-    Doubt,
-    /// The platform forgot changes, deletions maybe, which this daemon hadn't read.
+    /// The platform may have been restored to an older state, or have returned from one.
+    PossibleRollback,
+    /// The platform dropped history that this daemon hadn't read, which may include deletions.
     HistoryLost,
 }
 
-/// The keys seen in a read of all records, page by page.
+/// Keys seen in a read of all records, page by page.
 #[derive(Debug)]
 pub struct FullRead {
     keys: HashSet<RecordKey>,
@@ -42,13 +42,14 @@
         self.as_of = page.revision;
     }
 
-    /// Revision of the platform when the last page was read. Pages come in order of revisions, so
-    /// a record of this revision or before is on one of them, unless it was changed or deleted.
+    /// Returns the platform's revision at the last page. Pages come in order of revisions, so a
+    /// record of this revision or an earlier one is on one of them unless it was changed or
+    /// deleted.
     pub fn as_of(&self) -> Revision {
         self.as_of
     }
 
-    /// Whether the platform has something under a key.
+    /// Returns whether the platform has a record under a key.
     pub fn contains(&self, key: &RecordKey) -> bool {
         self.keys.contains(key)
     }
--- a/crates/core/src/records/held.rs
+++ b/crates/core/src/records/held_record.rs
@@ -7,19 +7,19 @@
     xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed},
 };
 
-/// What is held of one key: its newest revision, and the one in force where the newest is invalid
-/// or of a schema that isn't known here.
+/// Revisions held of one key: the newest one and, if that is invalid or of an unknown schema, the
+/// one in force.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct HeldRecord {
     pub newest: RecordEnvelope,
-    /// Why the newest isn't in force.
+    /// Reason why the newest revision isn't in force; `None` if it is.
     pub fault: Option<RecordFault>,
-    /// The newest valid one, where that isn't the newest of all.
+    /// Newest valid revision, if it isn't the newest of all.
     pub former: Option<RecordEnvelope>,
 }
 
-impl Held {
-    /// The revision in force.
+impl HeldRecord {
+    /// Returns the revision in force; `None` if no valid one is held.
     pub fn in_force(&self) -> Option<Revision> {
         match &self.fault {
             None => Some(self.newest.revision),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// All that is held of the key, newest first.
+    /// Returns the revisions held of the key, newest first.
     pub fn envelopes(&self) -> impl Iterator<Item = &RecordEnvelope> {
         std::iter::once(&self.newest).chain(&self.former)
     }
@@ -43,9 +43,9 @@
     }
 }
 
-/// Order of two statements about one key. The higher revision wins. Of two with one revision, which
-/// only a platform restored from a copy gives out, a deletion wins, then the higher hash: any rule
-/// does that depends on the bytes alone.
+/// Order of two revisions of one key. The higher revision number wins. Two values with one number
+/// occur only if the platform was restored from a copy; then a deletion wins, else the higher hash.
+/// Any rule works that depends on the bytes alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     revision: Revision,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Hash of a record's bytes; 0 for a tombstone.
+/// Returns the hash of a record's value; 0 for a tombstone.
 pub(super) fn value_hash(envelope: &RecordEnvelope) -> u64 {
     match &envelope.value {
         Some(value) => xxh3_64(value.as_bytes()),
@@ -69,12 +69,12 @@
     }
 }
 
-/// Hash of a record's key.
+/// Returns the hash of a record's key.
 pub(crate) fn key_hash(key: &RecordKey) -> u64 {
     xxh3_64(key.as_str().as_bytes())
 }
 
-/// Hash of key, revision and bytes.
+/// Returns a hash of key, revision and value.
 pub(super) fn envelope_hash(envelope: &RecordEnvelope) -> u64 {
     let seed = envelope.revision.0 ^ value_hash(envelope);
     xxh3_64_with_seed(envelope.key.as_str().as_bytes(), seed)
--- a/crates/core/src/records/in_force.rs
+++ b/crates/core/src/records/in_force.rs
@@ -1,5 +1,5 @@
 use {
-    super::claims::Claims,
+    super::name_index::NameIndex,
     std::collections::{BTreeMap, BTreeSet, HashMap},
     whinlatch_wire::{
         ids::{
@@ -11,22 +11,22 @@
     },
 };
 
-/// The records in force, indexed for decisions. Where several name one account or target, the one
-/// with the lowest key is in force.
+/// Records in force, indexed for routing and admission. Where several declare one account or
+/// target, the one with the lowest key counts.
 #[derive(Debug, Default)]
 pub struct InForce {
-    by_key: HashMap<RecordKey, Place>,
+    by_key: HashMap<RecordKey, BodyLocation>,
     routes: BTreeMap<RecordKey, RouteRecord>,
-    accounts: Claims<AccountName, AccountRecord>,
-    targets: Claims<TargetName, TargetRecord>,
+    accounts: NameIndex<AccountName, AccountRecord>,
+    targets: NameIndex<TargetName, TargetRecord>,
     target_names: BTreeSet<TargetName>,
     policies: BTreeMap<RecordKey, PolicyRecord>,
     default_policy: PolicyRecord,
 }
 
-/// Where a key's body stands.
+/// Index that holds the body of a key.
 #[derive(Debug)]
-enum Place {
+enum BodyLocation {
     Route,
     Account(AccountName),
     Target(TargetName),
@@ -34,79 +34,79 @@
 }
 
 impl InForce {
-    /// Replaces the body of a key; `None` takes it out.
+    /// Replaces the body of a key; `None` removes it.
     pub(super) fn set(&mut self, key: &RecordKey, body: Option<RecordBody>) {
-        self.take_out(key);
+        self.remove(key);
         let Some(body) = body else { return };
-        let place = match body {
+        let location = match body {
             RecordBody::Route(route) => {
                 self.routes.insert(key.clone(), route);
-                Place::Route
+                BodyLocation::Route
             }
             RecordBody::Account(account) => {
                 let name = account.account.clone();
                 self.accounts.insert(name.clone(), key, account);
-                Place::Account(name)
+                BodyLocation::Account(name)
             }
             RecordBody::Target(target) => {
                 let name = target.target.clone();
                 self.targets.insert(name.clone(), key, target);
                 self.target_names.insert(name.clone());
-                Place::Target(name)
+                BodyLocation::Target(name)
             }
             RecordBody::Policy(policy) => {
                 self.policies.insert(key.clone(), policy);
-                Place::Policy
+                BodyLocation::Policy
             }
         };
-        self.by_key.insert(key.clone(), place);
+        self.by_key.insert(key.clone(), location);
     }
 
-    fn take_out(&mut self, key: &RecordKey) {
+    fn remove(&mut self, key: &RecordKey) {
         match self.by_key.remove(key) {
             None => {}
-            Some(Place::Route) => drop(self.routes.remove(key)),
-            Some(Place::Account(name)) => self.accounts.remove(&name, key),
-            Some(Place::Target(name)) => self.take_target_out(&name, key),
-            Some(Place::Policy) => drop(self.policies.remove(key)),
+            Some(BodyLocation::Route) => drop(self.routes.remove(key)),
+            Some(BodyLocation::Account(name)) => self.accounts.remove(&name, key),
+            Some(BodyLocation::Target(name)) => self.remove_target(&name, key),
+            Some(BodyLocation::Policy) => drop(self.policies.remove(key)),
         }
     }
 
-    fn take_target_out(&mut self, name: &TargetName, key: &RecordKey) {
+    fn remove_target(&mut self, name: &TargetName, key: &RecordKey) {
         self.targets.remove(name, key);
         if self.targets.get(name).is_none() {
             self.target_names.remove(name);
         }
     }
 
-    /// The account of a name.
+    /// Returns the account of a name.
     pub fn account(&self, account: &AccountName) -> Option<&AccountRecord> {
         self.accounts.get(account)
     }
 
-    /// All accounts.
+    /// Returns all accounts, in no particular order.
     pub fn accounts(&self) -> impl Iterator<Item = &AccountRecord> {
         self.accounts.values()
     }
 
-    /// The target of a name.
+    /// Returns the target of a name.
     pub fn target(&self, target: &TargetName) -> Option<&TargetRecord> {
         self.targets.get(target)
     }
 
-    /// Key of the record that names a target.
+    /// Returns the key of the record that declares a target.
     pub fn key_of_target(&self, target: &TargetName) -> Option<&RecordKey> {
         self.targets.key(target)
     }
 
-    /// All targets by name.
+    /// Returns all targets, sorted by name.
     pub fn targets(&self) -> impl Iterator<Item = &TargetRecord> {
         self.target_names
             .iter()
             .filter_map(|name| self.targets.get(name))
     }
 
-    /// The policy in force: that of the lowest key, else the default.
+    /// Returns the policy record of the lowest key, or the default policy if there is none.
     pub fn policy(&self) -> &PolicyRecord {
         self.policies
             .values()
@@ -114,8 +114,8 @@
             .unwrap_or(&self.default_policy)
     }
 
-    /// The route for a model, most specific first: one that names the account goes before one
-    /// for all.
+    /// Returns the most specific route for a model: routes that name the caller come first, then
+    /// those that name the account, then those for all.
     pub fn model_route(
         &self,
         model: &ModelName,
@@ -132,7 +132,7 @@
         })
     }
 
-    /// The route for a plain service.
+    /// Returns the most specific route for a service without a model.
     pub fn service_route(
         &self,
         service: &ServiceName,
@@ -145,14 +145,14 @@
         })
     }
 
-    /// Whether any route names the model, for whichever account.
+    /// Returns whether any route names the model, for any account.
     pub fn knows_model(&self, model: &ModelName) -> bool {
         self.routes.values().any(
             |route| matches!(&route.subject, RouteSubject::Model { model: m, .. } if m == model),
         )
     }
 
-    /// Whether any route names the service, for whichever account.
+    /// Returns whether any route names the service, for any account.
     pub fn knows_service(&self, service: &ServiceName) -> bool {
         self.routes.values().any(
             |route| matches!(&route.subject, RouteSubject::Service { service: s, .. } if s == service),
@@ -163,11 +163,11 @@
         &self,
         account: &AccountName,
         caller: Option<&CallerName>,
-        fits: impl Fn(&RouteSubject) -> bool,
+        matches_subject: impl Fn(&RouteSubject) -> bool,
     ) -> Option<(&RecordKey, &RouteRecord)> {
         self.routes
             .iter()
-            .filter(|(_, route)| fits(&route.subject))
+            .filter(|(_, route)| matches_subject(&route.subject))
             .filter(|(_, route)| route.accounts.is_empty() || route.accounts.contains(account))
             .filter(|(_, route)| {
                 route.callers.is_empty() || caller.is_some_and(|c| route.callers.contains(c))
--- a/crates/core/src/records/platform_reader.rs
+++ b/crates/core/src/records/platform_reader.rs
@@ -4,93 +4,94 @@
     whinlatch_wire::{ids::Revision, platform::RecordPage},
 };
 
-/// How long a watch of the records waits, in ms.
-const WATCH_MS: u64 = 20_000;
+/// Time for which a watch of the records waits for changes, in ms.
+const WATCH_WAIT_MS: u64 = 20_000;
 /// Time between reads of the list by a watcher, in ms.
-const LIST_EVERY_MS: u64 = 1_000;
-/// Time between reads by a daemon that isn't a watcher, in ms; drawn from half to one and a half.
-const BACKSTOP_EVERY_MS: u64 = 30_000;
-/// Time before a failed read is tried again, in ms, doubled with each failure.
-const RETRY_MS: u64 = 200;
-/// Longest time before a failed read is tried again, in ms.
+const LIST_INTERVAL_MS: u64 = 1_000;
+/// Mean time between reads by a daemon that isn't a watcher, in ms; drawn from half to one and a
+/// half of it.
+const BACKSTOP_INTERVAL_MS: u64 = 30_000;
+/// Base of the wait before a failed read is retried, in ms; doubled with each consecutive failure.
+const BASE_RETRY_MS: u64 = 200;
+/// Maximum wait before a failed read is retried, in ms.
 const MAX_RETRY_MS: u64 = 5_000;
-/// Time without an answer after which the platform may come back restored from a copy, in ms.
-const OUTAGE_MS: u64 = 10_000;
-/// Least time between the starts of two full reads, in ms.
-const FULL_READ_GAP_MS: u64 = 10_000;
-/// Time after which a read that was never answered counts as failed, in ms.
-const LOST_READ_MS: u64 = WATCH_MS + 10_000;
+/// Duration of an outage, in ms, after which the platform may have been restored from a copy.
+const MIN_RESTORE_OUTAGE_MS: u64 = 10_000;
+/// Minimum time between the starts of two full reads, in ms.
+const MIN_FULL_READ_INTERVAL_MS: u64 = 10_000;
+/// Time after which an unanswered read counts as failed, in ms. Longer than a watch may wait.
+const READ_TIMEOUT_MS: u64 = WATCH_WAIT_MS + 10_000;
 
-/// What a daemon does about the platform.
+/// Role of a daemon in reading the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReaderRole {
-    /// Watches the records and reads the list all the time, and passes on what is new.
+    /// Watches the records, reads the list continuously, and passes on changes to peers.
     Watcher,
-    /// Gets both from peers and reads only now and then, in case that fails.
+    /// Receives both from peers, and reads only occasionally in case that fails.
     Backstop,
 }
 
-/// A read to make now.
+/// A read of the platform to start now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformRead {
-    /// Records after a revision.
+    /// Reads records changed after a revision.
     Records {
-        /// The revision.
+        /// Last revision already read; zero reads all records.
         after: Revision,
-        /// Wait this long for news, in ms.
+        /// Time to wait for a change, in ms; zero answers immediately.
         wait_ms: u64,
     },
-    /// The list of instances.
+    /// Reads the list of instances.
     List,
 }
 
-/// When to read what from the platform, and whether it can be believed.
+/// Schedules reads of the platform and judges whether their answers can be trusted.
 ///
-/// The platform may come back from an outage in an older state. Its records can't take anything
-/// back, since a record's value is a join. But a watch that goes on after a revision which the
-/// platform hasn't reached yet misses what is published up to there. So when the reported revision
-/// goes back, when it is back to normal, and after any outage long enough to restore a copy, all
-/// records are read again.
+/// The platform may come back from an outage in an older state. Its records can't undo anything,
+/// since merging records is a join. But a watch that continues after a revision which the platform
+/// hasn't reached yet misses what is published up to that revision. So all records are read again
+/// when the reported revision goes back, when it is back to normal, and after any outage long
+/// enough to restore a copy.
 #[derive(Debug)]
 pub struct PlatformReader {
     after: Revision,
-    records: Pace,
-    list: Pace,
-    failures: u32,
+    records: ReadSchedule,
+    list: ReadSchedule,
+    consecutive_failures: u32,
     budget: ReadBudget,
-    full: Option<FullRead>,
-    full_wanted: Option<FullReason>,
-    full_began: Option<MonoMs>,
-    highest: Revision,
-    behind: bool,
-    believed: bool,
-    lost_since: Option<MonoMs>,
+    full_read: Option<FullRead>,
+    pending_full_read: Option<FullReason>,
+    full_read_started_at: Option<MonoMs>,
+    highest_revision: Revision,
+    is_rolled_back: bool,
+    absence_trusted: bool,
+    unreachable_since: Option<MonoMs>,
     role: ReaderRole,
-    /// Reads so far.
+    /// Reads started so far.
     pub reads: u64,
-    /// When the last read was answered.
+    /// Time of the last answer; `None` before the first.
     pub answered: Option<MonoMs>,
-    /// Whether the last read was answered.
+    /// Whether the last finished read was answered; false before the first.
     pub reachable: bool,
 }
 
-/// When one kind of read is due.
+/// State of one kind of read.
 #[derive(Debug, Clone, Copy)]
-enum Pace {
+enum ReadSchedule {
     Due(MonoMs),
     InFlight(MonoMs),
 }
 
-impl Pace {
+impl ReadSchedule {
     fn is_due(self, now: MonoMs) -> bool {
         match self {
             Self::Due(due) => due <= now,
-            // Neither an answer nor a failure came: the read is lost.
-            Self::InFlight(since) => now.since(since) > LOST_READ_MS,
+            // Neither an answer nor a failure arrived: the read is lost.
+            Self::InFlight(since) => now.since(since) > READ_TIMEOUT_MS,
         }
     }
 
-    fn hasten(&mut self, due: MonoMs) {
+    fn bring_forward(&mut self, due: MonoMs) {
         if let Self::Due(at) = self {
             *at = (*at).min(due);
         }
@@ -98,21 +99,21 @@
 }
 
 impl PlatformReader {
-    /// Reads everything first.
+    /// Creates a reader that starts with a full read.
     pub fn new(now: MonoMs) -> Self {
         Self {
             after: Revision::default(),
-            records: Pace::Due(now),
-            list: Pace::Due(now),
-            failures: 0,
+            records: ReadSchedule::Due(now),
+            list: ReadSchedule::Due(now),
+            consecutive_failures: 0,
             budget: ReadBudget::new(now),
-            full: None,
-            full_wanted: Some(FullReason::Doubt),
-            full_began: None,
-            highest: Revision::default(),
-            behind: false,
-            believed: true,
-            lost_since: None,
+            full_read: None,
+            pending_full_read: Some(FullReason::PossibleRollback),
+            full_read_started_at: None,
+            highest_revision: Revision::default(),
+            is_rolled_back: false,
+            absence_trusted: true,
+            unreachable_since: None,
             role: ReaderRole::Watcher,
             reads: 0,
             answered: None,
@@ -120,22 +121,22 @@
         }
     }
 
-    /// Reads to make now, within this daemon's share of the budget.
+    /// Returns the reads to start now, within this daemon's share of the budget.
     pub fn due(&mut self, now: MonoMs, role: ReaderRole, reads_per_s: f64) -> Vec<PlatformRead> {
         if self.role != role && role == ReaderRole::Watcher {
-            // A watcher died: take its place at once.
-            self.records.hasten(now);
-            self.list.hasten(now);
+            // This daemon was elected, perhaps since a watcher died: start reading without delay.
+            self.records.bring_forward(now);
+            self.list.bring_forward(now);
         }
         self.role = role;
         let mut reads = Vec::new();
         if self.list.is_due(now) && self.budget.take(now, reads_per_s) {
-            self.list = Pace::InFlight(now);
+            self.list = ReadSchedule::InFlight(now);
             reads.push(PlatformRead::List);
         }
         if self.records.is_due(now) && self.budget.take(now, reads_per_s) {
-            self.believed &= matches!(self.records, Pace::Due(_));
-            self.records = Pace::InFlight(now);
+            self.absence_trusted &= matches!(self.records, ReadSchedule::Due(_));
+            self.records = ReadSchedule::InFlight(now);
             reads.push(self.records_read(now));
         }
         self.reads += reads.len() as u64;
@@ -143,126 +144,133 @@
     }
 
     fn records_read(&mut self, now: MonoMs) -> PlatformRead {
-        let may_begin = self
-            .full_began
-            .is_none_or(|began| now.since(began) >= FULL_READ_GAP_MS);
-        if may_begin && let Some(reason) = self.full_wanted.take() {
-            self.full_began = Some(now);
-            self.full = Some(FullRead::new(reason));
+        let may_start = self
+            .full_read_started_at
+            .is_none_or(|began| now.since(began) >= MIN_FULL_READ_INTERVAL_MS);
+        if may_start && let Some(reason) = self.pending_full_read.take() {
+            self.full_read_started_at = Some(now);
+            self.full_read = Some(FullRead::new(reason));
             self.after = Revision::default();
         }
-        let at_once = self.full.is_some() || self.role == ReaderRole::Backstop;
+        let immediate = self.full_read.is_some() || self.role == ReaderRole::Backstop;
         PlatformRead::Records {
             after: self.after,
-            wait_ms: if at_once { 0 } else { WATCH_MS },
+            wait_ms: if immediate { 0 } else { WATCH_WAIT_MS },
         }
     }
 
-    /// Takes in a page of records. Returns the full read that it completes, if any.
+    /// Applies a page of records. Returns the full read that it completes, if any.
     pub fn on_page(
         &mut self,
         now: MonoMs,
         page: &RecordPage,
         rng: &mut fastrand::Rng,
     ) -> Option<FullRead> {
-        self.succeeded(now);
-        self.note_revision(page.revision);
+        self.on_success(now);
+        self.check_revision(page.revision);
         self.after = match page.records.last() {
             Some(last) if page.more => last.revision,
             _ => page.revision,
         };
-        let pages_left = page.more || self.full_wanted.is_some();
-        self.records = Pace::Due(match self.role {
-            ReaderRole::Backstop if !pages_left => now + backstop_ms(rng),
+        let more_to_read = page.more || self.pending_full_read.is_some();
+        self.records = ReadSchedule::Due(match self.role {
+            ReaderRole::Backstop if !more_to_read => now + backstop_wait_ms(rng),
             _ => now,
         });
-        let full = self.full.as_mut()?;
+        let full = self.full_read.as_mut()?;
         full.add(page);
-        if page.more { None } else { self.full.take() }
+        if page.more {
+            None
+        } else {
+            self.full_read.take()
+        }
     }
 
-    fn note_revision(&mut self, revision: Revision) {
-        let behind = revision < self.highest;
-        if behind != self.behind {
-            self.want_full(FullReason::Doubt);
+    fn check_revision(&mut self, revision: Revision) {
+        let is_rolled_back = revision < self.highest_revision;
+        if is_rolled_back != self.is_rolled_back {
+            self.request_full_read(FullReason::PossibleRollback);
         }
-        self.behind = behind;
-        self.believed &= !behind;
-        self.highest = self.highest.max(revision);
+        self.is_rolled_back = is_rolled_back;
+        self.absence_trusted &= !is_rolled_back;
+        self.highest_revision = self.highest_revision.max(revision);
     }
 
-    /// Whether an absent key in a full read means that the record was deleted. Only where the
-    /// platform said that it forgot changes which this daemon hadn't read: else the tombstone would
-    /// have come. Absence in any other full read may be the loss of a platform that was restored
-    /// from a copy. Nor if the platform was ever seen in an older state, or if an answer was ever
-    /// given up, since it may come late and be taken for a page of a full read.
+    /// Returns whether a key that is absent from a full read was deleted.
+    ///
+    /// This holds only if the platform reported that it dropped history which this daemon hadn't
+    /// read; otherwise the tombstone would have arrived. Absence from any other full read may be
+    /// data loss of a platform that was restored from a copy. It never holds once the platform was
+    /// seen in an older state, nor once a read was given up unanswered, since its answer may arrive
+    /// late and be taken for a page of a full read.
     pub fn absence_is_deletion(&self, full: &FullRead) -> bool {
-        self.believed && full.reason() == FullReason::HistoryLost
+        self.absence_trusted && full.reason() == FullReason::HistoryLost
     }
 
-    /// All records are to be read again, as soon as the gap between two full reads allows, to find
-    /// what was deleted.
+    /// Requests a full read that finds deletions; it starts once the minimum interval between full
+    /// reads allows.
     pub fn read_all_again(&mut self) {
-        self.want_full(FullReason::HistoryLost);
+        self.request_full_read(FullReason::HistoryLost);
     }
 
-    fn want_full(&mut self, reason: FullReason) {
-        self.full_wanted = self.full_wanted.max(Some(reason));
+    fn request_full_read(&mut self, reason: FullReason) {
+        self.pending_full_read = self.pending_full_read.max(Some(reason));
     }
 
-    /// The history that was asked for is gone.
+    /// Handles the answer that the platform no longer has the history after the requested revision.
     pub fn on_history_gone(&mut self, now: MonoMs) {
-        self.succeeded(now);
-        self.full = None;
-        self.want_full(FullReason::HistoryLost);
-        self.full_began = None;
-        self.records = Pace::Due(now);
+        self.on_success(now);
+        self.full_read = None;
+        self.request_full_read(FullReason::HistoryLost);
+        self.full_read_started_at = None;
+        self.records = ReadSchedule::Due(now);
     }
 
-    /// Takes in an answer with the list.
+    /// Records that the list was read.
     pub fn on_list(&mut self, now: MonoMs, rng: &mut fastrand::Rng) {
-        self.succeeded(now);
+        self.on_success(now);
         let wait_ms = match self.role {
-            ReaderRole::Watcher => LIST_EVERY_MS,
-            ReaderRole::Backstop => backstop_ms(rng),
+            ReaderRole::Watcher => LIST_INTERVAL_MS,
+            ReaderRole::Backstop => backstop_wait_ms(rng),
         };
-        self.list = Pace::Due(now + wait_ms);
+        self.list = ReadSchedule::Due(now + wait_ms);
     }
 
-    /// A read of the records failed.
+    /// Records that a read of the records failed; a full read starts over.
     pub fn records_failed(&mut self, now: MonoMs, rng: &mut fastrand::Rng) {
-        if let Some(full) = self.full.take() {
-            self.want_full(full.reason());
-            self.full_began = None;
+        if let Some(full) = self.full_read.take() {
+            self.request_full_read(full.reason());
+            self.full_read_started_at = None;
         }
-        self.records = Pace::Due(now + self.failed(now, rng));
+        self.records = ReadSchedule::Due(now + self.on_failure(now, rng));
     }
 
-    /// A read of the list failed.
+    /// Records that a read of the list failed.
     pub fn list_failed(&mut self, now: MonoMs, rng: &mut fastrand::Rng) {
-        self.list = Pace::Due(now + self.failed(now, rng));
+        self.list = ReadSchedule::Due(now + self.on_failure(now, rng));
     }
 
-    fn succeeded(&mut self, now: MonoMs) {
-        let lost_since = self.lost_since.take();
-        if lost_since.is_some_and(|since| now.since(since) > OUTAGE_MS) {
-            self.want_full(FullReason::Doubt);
+    fn on_success(&mut self, now: MonoMs) {
+        let unreachable_since = self.unreachable_since.take();
+        if unreachable_since.is_some_and(|since| now.since(since) > MIN_RESTORE_OUTAGE_MS) {
+            self.request_full_read(FullReason::PossibleRollback);
         }
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.answered = Some(now);
         self.reachable = true;
     }
 
-    /// Time to wait after a failure, with jitter so that daemons don't come back all at once.
-    fn failed(&mut self, now: MonoMs, rng: &mut fastrand::Rng) -> u64 {
+    /// Records a failure. Returns the time to wait before the retry, in ms, with jitter so that
+    /// daemons don't all return at the same moment.
+    fn on_failure(&mut self, now: MonoMs, rng: &mut fastrand::Rng) -> u64 {
         self.reachable = false;
-        self.lost_since.get_or_insert(now);
-        self.failures = (self.failures + 1).min(8);
-        let full_ms = (RETRY_MS << self.failures).min(MAX_RETRY_MS);
-        rng.u64(full_ms / 2..=full_ms)
+        self.unreachable_since.get_or_insert(now);
+        self.consecutive_failures = (self.consecutive_failures + 1).min(8);
+        let max_wait_ms = (BASE_RETRY_MS << self.consecutive_failures).min(MAX_RETRY_MS);
+        rng.u64(max_wait_ms / 2..=max_wait_ms)
     }
 }
 
-fn backstop_ms(rng: &mut fastrand::Rng) -> u64 {
-    rng.u64(BACKSTOP_EVERY_MS / 2..=BACKSTOP_EVERY_MS * 3 / 2)
+fn backstop_wait_ms(rng: &mut fastrand::Rng) -> u64 {
+    rng.u64(BACKSTOP_INTERVAL_MS / 2..=BACKSTOP_INTERVAL_MS * 3 / 2)
 }
--- a/crates/core/src/records/record_store.rs
+++ b/crates/core/src/records/record_store.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         Buckets, FullRead, InForce,
-        held::{Held, envelope_hash, rank},
+        held_record::{HeldRecord, envelope_hash, rank},
     },
     std::collections::BTreeMap,
     whinlatch_wire::{
@@ -12,38 +12,39 @@
     },
 };
 
-/// What merging a record did.
+/// Result of merging a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Merge {
-    /// It changes nothing: what is held wins.
+    /// Nothing changed: what is held wins.
     Old,
-    /// The record is in force, or its tombstone is.
+    /// The record, or its tombstone, is in force now.
     InForce,
     /// The record is invalid; the former revision stays in force.
     Rejected(RecordFault),
 }
 
-/// What a read of all the platform's records shows by what it doesn't name.
+/// Held records that a full read of the platform doesn't contain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Absent {
-    /// It names all that is held.
+    /// The read contains all records held.
     None,
-    /// It doesn't, but the platform was behind what is held, so that nothing follows.
+    /// Some are missing, but the platform's revision was behind the newest held, which proves
+    /// nothing.
     Stale,
-    /// These were deleted.
+    /// Tombstones of the records that were deleted.
     Deleted(Vec<RecordEnvelope>),
 }
 
-/// All records that this daemon holds, as a join: of two revisions of a key the higher wins,
-/// whatever the order in which they come. A deletion is a tombstone with a revision and wins the
-/// same way, so that a stale platform or peer can't bring a deleted record back.
+/// All records that this daemon holds, merged as a join: of two revisions of a key the higher wins,
+/// whatever the order of arrival. A deletion is a tombstone with a revision and wins in the same
+/// way, so that a stale platform or peer can't restore a deleted record.
 ///
-/// Where the newest revision of a key is invalid, the newest valid one is held beside it. Without
-/// it a daemon that starts later would get only the invalid one, from the platform and from its
-/// peers, and have nothing in force where they serve on.
+/// If the newest revision of a key is invalid, the newest valid one is kept beside it. Otherwise a
+/// daemon that starts later would receive only the invalid one, from the platform and from its
+/// peers, and would have nothing in force while its peers serve on.
 #[derive(Debug, Default)]
 pub struct RecordStore {
-    pub(super) held: BTreeMap<RecordKey, Held>,
+    pub(super) held: BTreeMap<RecordKey, HeldRecord>,
     newest: Revision,
     count: u64,
     pub(super) buckets: Buckets,
@@ -51,60 +52,60 @@
 }
 
 impl RecordStore {
-    /// Takes in a record from the platform or a peer.
+    /// Merges a record from the platform or a peer.
     pub fn merge(&mut self, envelope: &RecordEnvelope) -> Merge {
-        if !self.is_news(envelope) {
+        if !self.may_change(envelope) {
             return Merge::Old;
         }
-        let verdict = envelope.value.as_deref().map(parse_record).transpose();
-        match verdict {
-            Ok(body) => self.put_in_force(envelope, body),
-            Err(fault) => self.keep_rejected(envelope, fault),
+        let parsed = envelope.value.as_deref().map(parse_record).transpose();
+        match parsed {
+            Ok(body) => self.store_valid(envelope, body),
+            Err(fault) => self.store_rejected(envelope, fault),
         }
     }
 
-    /// Whether a record may change what is held.
-    fn is_news(&self, envelope: &RecordEnvelope) -> bool {
+    /// Returns whether a record may change what is held.
+    fn may_change(&self, envelope: &RecordEnvelope) -> bool {
         let Some(held) = self.held.get(&envelope.key) else {
             return true;
         };
         if rank(envelope) >= rank(&held.newest) {
             return rank(envelope) > rank(&held.newest);
         }
-        let beats_former = held
+        let outranks_former = held
             .former
             .as_ref()
             .is_none_or(|former| rank(envelope) > rank(former));
-        held.fault.is_some() && beats_former
+        held.fault.is_some() && outranks_former
     }
 
-    fn put_in_force(&mut self, envelope: &RecordEnvelope, body: Option<RecordBody>) -> Merge {
+    fn store_valid(&mut self, envelope: &RecordEnvelope, body: Option<RecordBody>) -> Merge {
         self.in_force.set(&envelope.key, body);
-        let held = match self.take_out(&envelope.key) {
-            Some(held) if rank(&held.newest) > rank(envelope) => Held {
+        let held = match self.remove(&envelope.key) {
+            Some(held) if rank(&held.newest) > rank(envelope) => HeldRecord {
                 former: Some(envelope.clone()),
                 ..held
             },
-            _ => Held {
+            _ => HeldRecord {
                 newest: envelope.clone(),
                 fault: None,
                 former: None,
             },
         };
-        self.put(held);
+        self.insert(held);
         Merge::InForce
     }
 
-    fn keep_rejected(&mut self, envelope: &RecordEnvelope, fault: RecordFault) -> Merge {
+    fn store_rejected(&mut self, envelope: &RecordEnvelope, fault: RecordFault) -> Merge {
         let former = match self.held.get(&envelope.key) {
-            // Invalid and not the newest: of no use to anyone.
+            // An invalid revision that isn't the newest is of no use to anyone.
             Some(held) if rank(&held.newest) > rank(envelope) => return Merge::Old,
             Some(held) if held.fault.is_none() => Some(held.newest.clone()),
             Some(held) => held.former.clone(),
             None => None,
         };
-        self.take_out(&envelope.key);
-        self.put(Held {
+        self.remove(&envelope.key);
+        self.insert(HeldRecord {
             newest: envelope.clone(),
             fault: Some(fault.clone()),
             former,
@@ -112,7 +113,7 @@
         Merge::Rejected(fault)
     }
 
-    fn take_out(&mut self, key: &RecordKey) -> Option<Held> {
+    fn remove(&mut self, key: &RecordKey) -> Option<HeldRecord> {
         let held = self.held.remove(key)?;
         for envelope in held.envelopes() {
             self.buckets.toggle(key, envelope_hash(envelope));
@@ -121,7 +122,7 @@
         Some(held)
     }
 
-    fn put(&mut self, held: Held) {
+    fn insert(&mut self, held: HeldRecord) {
         for envelope in held.envelopes() {
             self.buckets.toggle(&envelope.key, envelope_hash(envelope));
             self.count += 1;
@@ -130,27 +131,27 @@
         self.held.insert(held.newest.key.clone(), held);
     }
 
-    /// Tombstones for the records that a read of all the platform's records no longer names.
+    /// Finds deletions in a full read: records held that the read doesn't contain.
     ///
-    /// The platform may forget history, tombstones with it, while this daemon can't reach it; such
-    /// a deletion shows only by absence. Its revision is unknown, so the tombstone carries that of
-    /// the record it ends and wins over it: whatever is published later wins over both. A record
-    /// newer than the read says nothing, and none does if the platform is behind what is held:
-    /// then it is stale, and absence doesn't mean deletion.
+    /// The platform may drop history, tombstones included, while this daemon can't reach it; such a
+    /// deletion shows only by absence. Its revision is unknown, so the tombstone carries the
+    /// revision of the record it ends and wins over it; anything published later wins over both. If
+    /// the platform's revision is behind the newest one held, the platform is stale or a peer sent
+    /// a newer record during the read, and absence proves nothing.
     pub fn absent_from(&self, read: &FullRead) -> Absent {
-        let absent: Vec<&RecordEnvelope> = self
+        let missing: Vec<&RecordEnvelope> = self
             .held
             .values()
             .map(|held| &held.newest)
             .filter(|newest| newest.value.is_some() && !read.contains(&newest.key))
             .collect();
-        if absent.is_empty() {
+        if missing.is_empty() {
             return Absent::None;
         }
         if read.as_of() < self.newest {
             return Absent::Stale;
         }
-        let tombstones = absent.into_iter().map(|newest| RecordEnvelope {
+        let tombstones = missing.into_iter().map(|newest| RecordEnvelope {
             key: newest.key.clone(),
             revision: newest.revision,
             value: None,
@@ -158,24 +159,24 @@
         Absent::Deleted(tombstones.collect())
     }
 
-    /// What is in force.
+    /// Returns the records in force.
     pub fn in_force(&self) -> &InForce {
         &self.in_force
     }
 
-    /// Highest revision held.
+    /// Returns the highest revision held.
     pub fn newest(&self) -> Revision {
         self.newest
     }
 
-    /// Revision in force of the record that names a target.
+    /// Returns the revision in force of the record that declares a target.
     pub fn revision_of_target(&self, target: &TargetName) -> Option<Revision> {
         let key = self.in_force.key_of_target(target)?;
         self.held.get(key)?.in_force()
     }
 
-    /// Sums up what is held, to compare with a peer. Covers the newest revisions and, where they
-    /// are invalid, those in force.
+    /// Summarizes what is held, for comparison with a peer. It covers the newest revisions and,
+    /// where they are invalid, those in force.
     pub fn summary(&self) -> RecordSummary {
         RecordSummary {
             newest: self.newest,
@@ -184,9 +185,12 @@
         }
     }
 
-    /// The state of each record for operators. `holders` names the instances that hold all records
-    /// of a bucket.
-    pub fn statuses(&self, holders: impl Fn(usize) -> Vec<InstanceName>) -> Vec<RecordStatus> {
+    /// Returns the state of each record for operators. `instances_holding` returns the instances
+    /// that hold all records of a bucket.
+    pub fn statuses(
+        &self,
+        instances_holding: impl Fn(usize) -> Vec<InstanceName>,
+    ) -> Vec<RecordStatus> {
         self.held
             .iter()
             .map(|(key, held)| RecordStatus {
@@ -194,7 +198,7 @@
                 revision: held.newest.revision,
                 in_force: held.in_force(),
                 state: held.state(),
-                instances: holders(Buckets::of(key)),
+                instances: instances_holding(Buckets::of(key)),
             })
             .collect()
     }
