--- a/crates/core/tests/peers_suite/daemons.rs
+++ b/crates/core/tests/peers_suite/daemons.rs
@@ -1,4 +1,4 @@
-//! What daemons say of themselves.
+//! Options, hellos and list entries of test daemons.
 
 use {
     std::net::SocketAddr,
--- a/crates/core/tests/peers_suite/fleet.rs
+++ b/crates/core/tests/peers_suite/fleet.rs
@@ -1,5 +1,5 @@
-//! Cores that talk over links in memory. Links lose, double, reorder, fall silent or break under a
-//! seeded generator; frames pass through the real codec; time is a number.
+//! Cores connected by in-memory links, under simulated time. Links lose, duplicate, reorder or
+//! block frames or break, driven by a seeded generator; frames pass through the real codec.
 
 use {
     crate::{
@@ -23,7 +23,7 @@
     pub options: CoreOptions,
     pub core: Core,
     pub process: Process,
-    pub platform_cut: bool,
+    pub platform_unreachable: bool,
     pub sent_bytes: u64,
     watch: Option<(Revision, u64)>,
 }
@@ -31,20 +31,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Process {
     Up,
-    Frozen,
+    Paused,
     Ended,
 }
 
-/// How bad the links are.
+/// Fault rates and delay of all links.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Weather {
+pub struct LinkFaults {
     pub loss_per_mille: u32,
-    pub double_per_mille: u32,
+    pub duplicate_per_mille: u32,
     pub jitter_ms: u64,
 }
 
 #[derive(Debug)]
-enum Due {
+enum Scheduled {
     Event(usize, Event),
     Frame(usize, usize, Vec<u8>),
     Opened(usize, usize),
@@ -53,18 +53,18 @@
 #[derive(Debug)]
 pub struct Fleet {
     pub now: u64,
-    /// Time between ticks; longer where a test waits for minutes.
+    /// Time between ticks, in ms; longer where a test waits for minutes.
     pub tick_ms: u64,
     pub nodes: Vec<Node>,
     pub platform: Platform,
-    pub weather: Weather,
-    pub largest_frame: usize,
-    /// Ordered pairs between which nothing passes, though no connection breaks.
-    pub silent: BTreeSet<(usize, usize)>,
+    pub link_faults: LinkFaults,
+    pub largest_frame_bytes: usize,
+    /// Ordered pairs of nodes between which no frame passes, though their connection stays open.
+    pub blocked: BTreeSet<(usize, usize)>,
     links: BTreeSet<(usize, usize)>,
-    /// Links that something between has lost track of: silent for good, while new ones work.
-    pub hushed: BTreeSet<(usize, usize)>,
-    due: BTreeMap<(u64, u64), Due>,
+    /// Links whose current connection passes nothing any more, while a new one works.
+    pub dead_connections: BTreeSet<(usize, usize)>,
+    scheduled: BTreeMap<(u64, u64), Scheduled>,
     sequence: u64,
     rng: fastrand::Rng,
 }
@@ -75,12 +75,12 @@
         tick_ms: TICK_MS,
         nodes: Vec::new(),
         platform: Platform::default(),
-        weather: Weather::default(),
-        largest_frame: 0,
-        silent: BTreeSet::new(),
+        link_faults: LinkFaults::default(),
+        largest_frame_bytes: 0,
+        blocked: BTreeSet::new(),
         links: BTreeSet::new(),
-        hushed: BTreeSet::new(),
-        due: BTreeMap::new(),
+        dead_connections: BTreeSet::new(),
+        scheduled: BTreeMap::new(),
         sequence: 0,
         rng: fastrand::Rng::with_seed(seed),
     };
@@ -91,34 +91,34 @@
 }
 
 impl Fleet {
-    /// Adds a daemon, or puts a new run in place of the one on the same instance.
+    /// Adds a daemon, or replaces the one on the same instance by a new run.
     pub fn add(&mut self, options: CoreOptions) -> usize {
         let node = Node {
             core: Core::new(MonoMs(self.now), options.clone()),
             process: Process::Up,
-            platform_cut: false,
+            platform_unreachable: false,
             sent_bytes: 0,
             watch: None,
             options,
         };
-        let same = |held: &Node| held.options.instance == node.options.instance;
-        if let Some(index) = self.nodes.iter().position(same) {
+        let same_instance = |held: &Node| held.options.instance == node.options.instance;
+        if let Some(index) = self.nodes.iter().position(same_instance) {
             self.nodes[index] = node;
             return index;
         }
-        self.list(&node.options, ListedState::Live);
+        self.set_listed(&node.options, ListedState::Live);
         self.nodes.push(node);
         self.nodes.len() - 1
     }
 
-    pub fn list(&mut self, options: &CoreOptions, state: ListedState) {
+    pub fn set_listed(&mut self, options: &CoreOptions, state: ListedState) {
         let daemons = &mut self.platform.list.daemons;
         daemons.retain(|daemon| daemon.instance != options.instance);
         daemons.push(listed(options, state));
         self.platform.list.version += 1;
     }
 
-    /// Ends a process; its connections break unless they are silent.
+    /// Ends a process; its connections break.
     pub fn kill(&mut self, index: usize) {
         self.nodes[index].process = Process::Ended;
         for other in 0..self.nodes.len() {
@@ -126,13 +126,13 @@
         }
     }
 
-    /// Cuts every connection between the two sides without a word.
-    pub fn part(&mut self, left: &[usize], right: &[usize]) {
+    /// Blocks all frames between the two sides; their connections stay open.
+    pub fn partition(&mut self, left: &[usize], right: &[usize]) {
         for (a, b) in left
             .iter()
             .flat_map(|a| right.iter().map(move |b| (*a, *b)))
         {
-            self.silent.extend([(a, b), (b, a)]);
+            self.blocked.extend([(a, b), (b, a)]);
         }
     }
 
@@ -154,25 +154,26 @@
                 address: options.peer_address,
                 peer: Some(options.incarnation),
             };
-            self.later(0, Due::Event(at, event));
+            self.schedule(0, Scheduled::Event(at, event));
         }
     }
 
-    fn later(&mut self, ms: u64, due: Due) {
+    fn schedule(&mut self, ms: u64, scheduled: Scheduled) {
         self.sequence += 1;
-        self.due.insert((self.now + ms, self.sequence), due);
+        self.scheduled
+            .insert((self.now + ms, self.sequence), scheduled);
     }
 
     pub fn run_ms(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.now += self.tick_ms;
-            while let Some(entry) = self.due.first_entry() {
+            while let Some(entry) = self.scheduled.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
-                let due = entry.remove();
-                self.deliver(due);
+                let scheduled = entry.remove();
+                self.deliver(scheduled);
             }
             for index in 0..self.nodes.len() {
                 self.answer_watch(index);
@@ -181,66 +182,75 @@
         }
     }
 
-    /// Runs until `holds`, or fails after `within_ms`. Returns the time it took.
-    pub fn until(&mut self, within_ms: u64, what: &str, holds: impl Fn(&Self) -> bool) -> u64 {
+    /// Runs until `condition` is true and returns the time it took, in ms; panics after
+    /// `timeout_ms`.
+    pub fn run_until(
+        &mut self,
+        timeout_ms: u64,
+        what: &str,
+        condition: impl Fn(&Self) -> bool,
+    ) -> u64 {
         let start = self.now;
-        while !holds(self) {
+        while !condition(self) {
             assert!(
-                self.now - start < within_ms,
-                "not within {within_ms} ms: {what}"
+                self.now - start < timeout_ms,
+                "not within {timeout_ms} ms: {what}"
             );
             self.run_ms(TICK_MS);
         }
         self.now - start
     }
 
-    fn deliver(&mut self, due: Due) {
-        match due {
-            Due::Event(index, event) => self.event(index, event),
-            Due::Frame(from, to, bytes) => {
+    fn deliver(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Event(index, event) => self.event(index, event),
+            Scheduled::Frame(from, to, bytes) => {
                 let frame = Box::new(decode_frame(&bytes).expect("a frame"));
                 let from = self.nodes[from].options.incarnation;
                 self.event(to, Event::PeerFrame { from, frame });
             }
-            Due::Opened(a, b) => self.open(a, b),
+            Scheduled::Opened(a, b) => self.open(a, b),
         }
     }
 
     fn open(&mut self, a: usize, b: usize) {
-        let cut = self.silent.contains(&(a, b)) || self.silent.contains(&(b, a));
-        if cut || !self.is_up(a) || !self.is_up(b) || self.linked(a, b) {
+        let blocked = self.blocked.contains(&(a, b)) || self.blocked.contains(&(b, a));
+        if blocked || !self.is_up(a) || !self.is_up(b) || self.linked(a, b) {
             let address = self.nodes[b].options.peer_address;
             let event = Event::PeerDown {
                 address,
                 peer: None,
             };
-            self.later(if cut { LINK_TIMEOUT_MS } else { 0 }, Due::Event(a, event));
+            self.schedule(
+                if blocked { LINK_TIMEOUT_MS } else { 0 },
+                Scheduled::Event(a, event),
+            );
             return;
         }
         self.links.insert(pair(a, b));
-        self.hushed.remove(&pair(a, b));
+        self.dead_connections.remove(&pair(a, b));
         for (at, peer) in [(a, b), (b, a)] {
             let hello = hello(&self.nodes[peer].options);
             self.event(at, Event::PeerUp { hello });
         }
     }
 
-    /// Lets a core take in an event and carries out what it wants done.
+    /// Passes an event to a core and performs its actions.
     pub fn event(&mut self, index: usize, event: Event) {
         let node = &mut self.nodes[index];
         match node.process {
             Process::Up => {}
             Process::Ended => return,
-            // Connections hold what comes until the process wakes.
-            Process::Frozen if matches!(event, Event::Tick) => return,
-            Process::Frozen => return self.later(TICK_MS, Due::Event(index, event)),
+            // Connections buffer incoming frames until the process resumes.
+            Process::Paused if matches!(event, Event::Tick) => return,
+            Process::Paused => return self.schedule(TICK_MS, Scheduled::Event(index, event)),
         }
         for action in node.core.handle(MonoMs(self.now), event) {
-            self.carry_out(index, action);
+            self.perform(index, action);
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: Action) {
+    fn perform(&mut self, index: usize, action: Action) {
         match action {
             Action::Send { to, frame } => {
                 self.send(index, to, &encode_frame(&frame).expect("fits"));
@@ -248,7 +258,7 @@
             Action::Link { address } => {
                 let peer = |node: &Node| node.options.peer_address == address;
                 if let Some(peer) = self.nodes.iter().position(peer) {
-                    self.later(1, Due::Opened(index, peer));
+                    self.schedule(1, Scheduled::Opened(index, peer));
                 }
             }
             Action::Unlink { peer } => {
@@ -262,12 +272,12 @@
             }
             Action::ReadInstances => {
                 self.platform.reads += 1;
-                let event = if self.platform.down || self.nodes[index].platform_cut {
+                let event = if self.platform.down || self.nodes[index].platform_unreachable {
                     PlatformEvent::InstancesFailed
                 } else {
                     PlatformEvent::Instances(self.platform.list.clone())
                 };
-                self.later(2, Due::Event(index, Event::Platform(event)));
+                self.schedule(2, Scheduled::Event(index, Event::Platform(event)));
             }
             _ => {}
         }
@@ -280,30 +290,33 @@
 
     fn send(&mut self, from: usize, to: Incarnation, bytes: &[u8]) {
         self.nodes[from].sent_bytes += bytes.len() as u64;
-        self.largest_frame = self.largest_frame.max(bytes.len());
+        self.largest_frame_bytes = self.largest_frame_bytes.max(bytes.len());
         let Some(to) = self.index_of(to).filter(|to| self.linked(from, *to)) else {
             return;
         };
         let per_mille = self.rng.u32(..1_000);
-        let hushed = self.hushed.contains(&pair(from, to));
-        if hushed || self.silent.contains(&(from, to)) || per_mille < self.weather.loss_per_mille {
+        let is_dead = self.dead_connections.contains(&pair(from, to));
+        if is_dead
+            || self.blocked.contains(&(from, to))
+            || per_mille < self.link_faults.loss_per_mille
+        {
             return;
         }
-        let copies = 1 + u32::from(self.rng.u32(..1_000) < self.weather.double_per_mille);
+        let copies = 1 + u32::from(self.rng.u32(..1_000) < self.link_faults.duplicate_per_mille);
         for _ in 0..copies {
-            let delay_ms = 1 + self.rng.u64(..=self.weather.jitter_ms);
-            self.later(delay_ms, Due::Frame(from, to, bytes.to_vec()));
+            let delay_ms = 1 + self.rng.u64(..=self.link_faults.jitter_ms);
+            self.schedule(delay_ms, Scheduled::Frame(from, to, bytes.to_vec()));
         }
     }
 
-    /// Answers a waiting read of records when there is something to say.
+    /// Answers a pending read of records once there are changes or its wait is over.
     fn answer_watch(&mut self, index: usize) {
         let Some((after, until)) = self.nodes[index].watch else {
             return;
         };
-        let cut = self.nodes[index].platform_cut;
-        let answer = if cut {
-            Answer::Nothing
+        let unreachable = self.nodes[index].platform_unreachable;
+        let answer = if unreachable {
+            Answer::Unreachable
         } else {
             self.platform.read(after)
         };
@@ -311,7 +324,7 @@
             Answer::Page(page) if page.records.is_empty() && self.now < until => return,
             Answer::Page(page) => PlatformEvent::Records(page),
             Answer::HistoryGone => PlatformEvent::HistoryGone,
-            Answer::Nothing => PlatformEvent::RecordsFailed,
+            Answer::Unreachable => PlatformEvent::RecordsFailed,
         };
         self.nodes[index].watch = None;
         self.event(index, Event::Platform(event));
--- a/crates/core/tests/peers_suite/main.rs
+++ b/crates/core/tests/peers_suite/main.rs
@@ -1,4 +1,4 @@
-//! Several cores under one clock of numbers: records, membership and links under failure.
+//! Several cores in one process under simulated time: records, membership and links under failure.
 
 mod daemons;
 mod fleet;
--- a/crates/core/tests/peers_suite/peers_links.rs
+++ b/crates/core/tests/peers_suite/peers_links.rs
@@ -1,4 +1,4 @@
-//! Links at the size designed for: bounded in number, one graph, few bytes.
+//! Links at the largest supported fleet: bounded in number, one connected graph, little traffic.
 
 use {
     crate::{
@@ -23,24 +23,24 @@
 const DAEMONS: usize = 350;
 const DOMAINS: usize = 6;
 
-fn places(without: impl Fn(usize) -> bool) -> Vec<Place> {
+fn ring_nodes(is_excluded: impl Fn(usize) -> bool) -> Vec<Place> {
     (0..DAEMONS)
-        .filter(|index| !without(*index))
+        .filter(|index| !is_excluded(*index))
         .map(|index| options(index, 0, DOMAINS))
         .map(|options| Place::new(options.peer_address, &options.failure_domain))
         .collect()
 }
 
-fn graph(places: &[Place]) -> BTreeMap<SocketAddr, BTreeSet<SocketAddr>> {
-    let ring = Ring::new(places.iter().cloned());
-    places
+fn graph(ring_nodes: &[Place]) -> BTreeMap<SocketAddr, BTreeSet<SocketAddr>> {
+    let ring = Ring::new(ring_nodes.iter().cloned());
+    ring_nodes
         .iter()
         .map(|place| (place.address, ring.linked_with(place)))
         .collect()
 }
 
-/// Passes that news from one daemon needs to reach all; none if it doesn't.
-fn passes(graph: &BTreeMap<SocketAddr, BTreeSet<SocketAddr>>, from: SocketAddr) -> Option<usize> {
+/// Returns the hops that news from one daemon needs to reach all; `None` if it doesn't reach all.
+fn hops(graph: &BTreeMap<SocketAddr, BTreeSet<SocketAddr>>, from: SocketAddr) -> Option<usize> {
     let mut reached = BTreeMap::from([(from, 0)]);
     let mut queue = VecDeque::from([from]);
     while let Some(at) = queue.pop_front() {
@@ -56,31 +56,35 @@
     all.then(|| reached.into_values().max().unwrap_or(0))
 }
 
-// A full mesh of 350 daemons costs more than the budget. Bounded links must still reach all within
-// few passes, also when a tenth of the daemons died and nobody has noticed yet.
+// A full mesh of 350 daemons exceeds the traffic budget. Bounded links must still reach all daemons
+// within few hops, also when a tenth of them died unnoticed.
 #[test]
 fn news_reaches_350_daemons_over_few_links() {
-    let whole = graph(&places(|_| false));
-    let most = whole.values().map(BTreeSet::len).max().unwrap_or(0);
-    let mean = whole.values().map(BTreeSet::len).sum::<usize>() as f64 / DAEMONS as f64;
+    let whole = graph(&ring_nodes(|_| false));
+    let max_links = whole.values().map(BTreeSet::len).max().unwrap_or(0);
+    let mean_links = whole.values().map(BTreeSet::len).sum::<usize>() as f64 / DAEMONS as f64;
     let from = *whole.keys().next().expect("a daemon");
 
-    let far = whole.keys().filter_map(|from| passes(&whole, *from)).max();
-    println!("links: most {most}, mean {mean:.1}; passes {far:?}");
-    assert!(most <= 30, "{most}");
-    assert!(mean <= 16.0, "{mean}");
-    assert!(far.is_some_and(|far| far <= 6), "{far:?}");
+    let max_hops = whole.keys().filter_map(|from| hops(&whole, *from)).max();
+    println!("links: max {max_links}, mean {mean_links:.1}; hops {max_hops:?}");
+    assert!(max_links <= 30, "{max_links}");
+    assert!(mean_links <= 16.0, "{mean_links}");
+    assert!(
+        max_hops.is_some_and(|max_hops| max_hops <= 6),
+        "{max_hops:?}"
+    );
 
     let survivors: BTreeMap<_, _> = whole
         .into_iter()
         .filter(|(address, _)| *address == from || address.port() % 10 != 3)
         .collect();
-    let passes = passes(&survivors, from);
-    println!("with a tenth dead: {passes:?} passes");
-    assert!(passes.is_some_and(|passes| passes <= 7), "{passes:?}");
+    let hops = hops(&survivors, from);
+    println!("with a tenth dead: {hops:?} hops");
+    assert!(hops.is_some_and(|hops| hops <= 7), "{hops:?}");
 }
 
-/// A core that knows 349 others and has the links that it wants.
+/// Returns a core that knows 349 others and has opened all links it wants, with the time and its
+/// peers.
 fn core_of_350() -> (Core, u64, BTreeSet<Incarnation>) {
     let mut now = 10_000;
     let mut core = Core::new(MonoMs(now), options(0, 0, DOMAINS));
@@ -99,7 +103,7 @@
     for _ in 0..100 {
         now += TICK_MS;
         for peer in &linked {
-            tell(&mut core, now, *peer, PeerFrame::default());
+            deliver(&mut core, now, *peer, PeerFrame::default());
         }
         for action in core.handle(MonoMs(now), Event::Tick) {
             if let Action::Link { address } = action {
@@ -113,10 +117,10 @@
     (core, now, linked)
 }
 
-// Control may cost 15 KB a second at 350 daemons, both ways. Heartbeats on each link and the
-// stamps of all that are alive are what is sent when nothing happens.
+// Control traffic may take 15 KB a second at 350 daemons, both directions together. An idle fleet
+// sends heartbeats on each link and the stamps of all daemons alive.
 #[test]
-fn control_at_350_daemons_stays_under_its_bytes() {
+fn control_traffic_of_350_daemons_stays_within_budget() {
     let (mut core, mut now, linked) = core_of_350();
     let all: Vec<_> = (1..DAEMONS)
         .map(|index| hello(&options(index, 0, DOMAINS)))
@@ -125,7 +129,7 @@
         members: all.iter().map(member).collect(),
         ..News::default()
     };
-    tell(
+    deliver(
         &mut core,
         now,
         *linked.first().expect("a link"),
@@ -151,7 +155,7 @@
                 } else {
                     Vec::new()
                 };
-                actions.extend(tell(
+                actions.extend(deliver(
                     &mut core,
                     now,
                     *peer,
@@ -181,7 +185,7 @@
     assert_eq!(frames, linked.len() * 2 * 60 + 60 / 5);
 }
 
-fn tell(core: &mut Core, now: u64, from: Incarnation, frame: PeerFrame) -> Vec<Action> {
+fn deliver(core: &mut Core, now: u64, from: Incarnation, frame: PeerFrame) -> Vec<Action> {
     core.handle(
         MonoMs(now),
         Event::PeerFrame {
@@ -211,10 +215,10 @@
     }
 }
 
-// A link is silent for long while loads change at each request. What waits for it must not grow,
-// and the latest statement about a subject is the one that is sent.
+// A link is silent for long while loads change with each request. Its queue must not grow, and only
+// the latest update about a subject may be sent.
 #[test]
-fn news_that_waits_is_bounded_and_the_latest_statement_wins() {
+fn queued_news_is_bounded_and_the_latest_update_wins() {
     let mut queue = NewsQueue::default();
     let load = |number: u64, target: u64| TargetLoad {
         origin: Incarnation(7),
@@ -246,10 +250,10 @@
     assert!(sent.loads.iter().all(|load| load.number >= 99_998));
 }
 
-// Of two daemons the one with the lower address opens the link. If that one can't know the other,
-// since the platform is down and it has no seed, the two must be linked all the same.
+// The daemon with the lower address opens the link. If it can't know the other, since the platform
+// is down and it has no seed, the other one must open it.
 #[test]
-fn a_link_is_opened_from_the_other_side_when_need_be() {
+fn a_link_is_opened_by_the_higher_address_if_the_lower_cannot() {
     let mut fleet = fleet(0, 1);
     fleet.platform.down = true;
     fleet.add(options(0, 0, 3));
@@ -257,7 +261,7 @@
     higher.seed_peers = vec![options(0, 0, 3).peer_address];
     fleet.add(higher);
 
-    let ms = fleet.until(5_000, "linked", |fleet| fleet.linked(0, 1));
+    let ms = fleet.run_until(5_000, "linked", |fleet| fleet.linked(0, 1));
 
     println!("linked after {ms} ms");
 }
--- a/crates/core/tests/peers_suite/platform.rs
+++ b/crates/core/tests/peers_suite/platform.rs
@@ -1,4 +1,4 @@
-//! A platform's service in memory: records with history, a list, and ways to fail.
+//! In-memory platform service: records with history, a list of instances, and injectable failures.
 
 use whinlatch_wire::{
     ids::{RecordKey, Revision},
@@ -6,12 +6,12 @@
     record::RecordEnvelope,
 };
 
-/// What the platform answers to a read of records.
+/// Response of the platform to a read of records.
 #[derive(Debug)]
 pub enum Answer {
     Page(RecordPage),
     HistoryGone,
-    Nothing,
+    Unreachable,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -20,8 +20,8 @@
     pub records: Vec<RecordEnvelope>,
     pub list: InstanceList,
     pub down: bool,
-    /// Reads after a revision below this one get `410`; tombstones below it are forgotten.
-    pub history_from: u64,
+    /// Reads after a revision below this one get `410`; tombstones below it are dropped.
+    pub history_starts_at: u64,
     pub reads: u64,
     pub page_records: usize,
 }
@@ -37,7 +37,7 @@
 
     fn put(&mut self, key: &str, value: Option<std::sync::Arc<str>>) -> u64 {
         self.revision += 1;
-        self.records.retain(|held| held.key.as_str() != key);
+        self.records.retain(|record| record.key.as_str() != key);
         self.records.push(RecordEnvelope {
             key: RecordKey::new(key),
             revision: Revision(self.revision),
@@ -46,23 +46,23 @@
         self.revision
     }
 
-    /// Forgets history and tombstones up to now.
+    /// Drops history and tombstones up to now.
     pub fn compact(&mut self) {
-        self.history_from = self.revision;
-        self.records.retain(|held| held.value.is_some());
+        self.history_starts_at = self.revision;
+        self.records.retain(|record| record.value.is_some());
     }
 
     pub fn read(&self, after: Revision) -> Answer {
         if self.down {
-            return Answer::Nothing;
+            return Answer::Unreachable;
         }
-        if after.0 != 0 && after.0 < self.history_from {
+        if after.0 != 0 && after.0 < self.history_starts_at {
             return Answer::HistoryGone;
         }
         let mut records: Vec<RecordEnvelope> = self
             .records
             .iter()
-            .filter(|held| held.revision > after)
+            .filter(|record| record.revision > after)
             .cloned()
             .collect();
         let more = self.page_records > 0 && records.len() > self.page_records;
--- a/crates/core/tests/peers_suite/records_exchange.rs
+++ b/crates/core/tests/peers_suite/records_exchange.rs
@@ -1,9 +1,9 @@
-//! Daemons that hold different records come to hold the same, at little cost.
+//! Daemons that hold different records converge with few bytes sent.
 
 use {
     crate::{
         daemons::options,
-        fleet::{Fleet, Weather, fleet},
+        fleet::{Fleet, LinkFaults, fleet},
         values::{account, envelope},
     },
     whinlatch_core::{Event, PlatformEvent},
@@ -12,8 +12,8 @@
     },
 };
 
-/// Hands records to a core as if the platform had sent them to it alone.
-fn hand(fleet: &mut Fleet, index: usize, records: Vec<RecordEnvelope>) {
+/// Delivers records to one core as if the platform had sent them to it alone.
+fn deliver_records(fleet: &mut Fleet, index: usize, records: Vec<RecordEnvelope>) {
     let revision = records.last().map_or(Revision(0), |last| last.revision);
     let page = RecordPage {
         revision,
@@ -45,11 +45,11 @@
         .collect()
 }
 
-fn all_hold(fleet: &Fleet, count: usize) -> bool {
+fn all_have(fleet: &Fleet, count: usize) -> bool {
     (0..fleet.nodes.len()).all(|index| held(fleet, index).len() == count)
 }
 
-/// Two daemons without a platform that know each other's address.
+/// Two daemons without a platform; the first has the second as a seed.
 fn two_without_platform() -> Fleet {
     let mut fleet = fleet(0, 5);
     fleet.platform.down = true;
@@ -60,43 +60,43 @@
     fleet
 }
 
-// A partition lets each side see changes that the other lacks, some to the same records. When the
-// links are back, over lossy ones too, both sides must come to hold the newest of each.
+// During a partition each side gets changes that the other lacks, some to the same records. When
+// links are back, lossy ones included, both sides must hold the newest revision of each record.
 #[test]
-fn both_sides_of_a_partition_end_with_the_join() {
+fn both_sides_of_a_partition_converge_on_the_join() {
     for seed in 0..5 {
         let mut fleet = fleet(6, seed);
         fleet.platform.down = true;
         fleet
             .nodes
             .iter_mut()
-            .for_each(|node| node.platform_cut = true);
+            .for_each(|node| node.platform_unreachable = true);
         fleet.run_ms(2_000);
         fleet.platform.down = false;
         fleet
             .nodes
             .iter_mut()
-            .for_each(|node| node.platform_cut = false);
+            .for_each(|node| node.platform_unreachable = false);
         fleet.run_ms(4_000);
         fleet.platform.down = true;
-        fleet.part(&[0, 1, 2], &[3, 4, 5]);
-        hand(&mut fleet, 0, accounts(0..40));
-        hand(&mut fleet, 4, accounts(30..70));
+        fleet.partition(&[0, 1, 2], &[3, 4, 5]);
+        deliver_records(&mut fleet, 0, accounts(0..40));
+        deliver_records(&mut fleet, 4, accounts(30..70));
         let newer = envelope(
             "accounts/account-00003",
             90,
             Some(&account("account-00003", 77)),
         );
-        hand(&mut fleet, 5, vec![newer]);
-        fleet.weather = Weather {
+        deliver_records(&mut fleet, 5, vec![newer]);
+        fleet.link_faults = LinkFaults {
             loss_per_mille: 200,
-            double_per_mille: 200,
+            duplicate_per_mille: 200,
             jitter_ms: 300,
         };
         fleet.run_ms(5_000);
 
-        fleet.silent.clear();
-        fleet.until(60_000, "all hold the join", |fleet| all_hold(fleet, 70));
+        fleet.blocked.clear();
+        fleet.run_until(60_000, "all hold the join", |fleet| all_have(fleet, 70));
 
         let report = held(&fleet, 1);
         assert_eq!(report[3].1, Some(Revision(90)));
@@ -104,10 +104,10 @@
     }
 }
 
-// 38,000 records agree but for 25 that are spread over them. Fetching all of them at each
-// heartbeat until they agree costs megabytes each time; only what differs may travel.
+// 38,000 records agree except for 25 spread over them. Fetching all at each heartbeat until they
+// agree costs megabytes each time; only what differs may be sent.
 #[test]
-fn few_differences_among_many_records_cost_little() {
+fn few_differences_among_many_records_cost_few_bytes() {
     let mut fleet = two_without_platform();
     let mut first = accounts(0..38_000);
     let second = first.clone();
@@ -115,10 +115,10 @@
         let at = n * 1_500;
         first[at].revision = Revision(40_000 + n as u64);
     }
-    hand(&mut fleet, 0, first);
-    hand(&mut fleet, 1, second);
+    deliver_records(&mut fleet, 0, first);
+    deliver_records(&mut fleet, 1, second);
 
-    fleet.until(10_000, "agree", |fleet| held(fleet, 0) == held(fleet, 1));
+    fleet.run_until(10_000, "agree", |fleet| held(fleet, 0) == held(fleet, 1));
     fleet.run_ms(5_000);
 
     let bytes: u64 = fleet.nodes.iter().map(|node| node.sent_bytes).sum();
@@ -126,8 +126,8 @@
     assert!(bytes < 100_000, "{bytes} bytes");
 }
 
-// A daemon starts empty beside one that holds 40 records of a megabyte each. One frame with all of
-// them is over the limit, so that the link broke each time and the daemon never got any.
+// A daemon starts empty beside one that holds 40 records of a megabyte each. All of them in one
+// frame exceed the limit, so that the link broke each time and the daemon never got any.
 #[test]
 fn large_records_travel_in_frames_under_the_limit() {
     let mut fleet = two_without_platform();
@@ -139,20 +139,20 @@
             ..record
         })
         .collect();
-    hand(&mut fleet, 0, records);
+    deliver_records(&mut fleet, 0, records);
 
-    fleet.until(10_000, "all hold", |fleet| all_hold(fleet, 40));
+    fleet.run_until(10_000, "all hold", |fleet| all_have(fleet, 40));
 
-    assert!(fleet.largest_frame < MAX_FRAME_BYTES / 2);
+    assert!(fleet.largest_frame_bytes < MAX_FRAME_BYTES / 2);
 }
 
-// A daemon that starts beside seven others must not fetch all records from each of them at once.
+// A daemon that starts beside seven others must not fetch all records from each of them.
 #[test]
 fn a_start_fetches_the_records_about_once() {
     let mut fleet = fleet(8, 3);
     fleet.platform.down = true;
     for index in 0..8 {
-        hand(&mut fleet, index, accounts(0..5_000));
+        deliver_records(&mut fleet, index, accounts(0..5_000));
     }
     fleet.platform.down = false;
     fleet.run_ms(5_000);
@@ -166,7 +166,7 @@
         .collect();
 
     fleet.add(late);
-    fleet.until(10_000, "all hold", |fleet| all_hold(fleet, 5_000));
+    fleet.run_until(10_000, "all hold", |fleet| all_have(fleet, 5_000));
 
     let all: u64 = accounts(0..5_000)
         .iter()
--- a/crates/core/tests/peers_suite/records_in_force.rs
+++ b/crates/core/tests/peers_suite/records_in_force.rs
@@ -1,4 +1,4 @@
-//! What is in force follows from the records held, not from the order in which they came.
+//! The records in force depend on the records held, not on the order of arrival.
 
 use {
     crate::values::{account, envelope, policy, target, unknown_schema},
@@ -23,24 +23,24 @@
     Some(target.address.port())
 }
 
-// Operators move a target to a new key: they publish the new record, then delete the old one. The
-// target vanished from the fleet, since deleting one of two records that name it took out both.
+// Operators move a target to a new key by publishing the new record and deleting the old one. The
+// target vanished from the fleet, since deleting one of two records that declare it removed both.
 #[test]
-fn a_record_comes_back_into_force_when_the_other_of_its_name_is_deleted() {
+fn a_record_takes_effect_when_the_other_one_of_its_name_is_deleted() {
     let old = envelope("targets/a", 1, Some(&target("labels-1", 7001)));
     let new = envelope("targets/b", 2, Some(&target("labels-1", 7002)));
-    let gone = envelope("targets/a", 3, None);
+    let deletion = envelope("targets/a", 3, None);
 
     let both = store(&[old.clone(), new.clone()]);
-    let one = store(&[old, new, gone]);
+    let one = store(&[old, new, deletion]);
 
     assert_eq!(port(&both, "labels-1"), Some(7001));
     assert_eq!(port(&one, "labels-1"), Some(7002));
 }
 
-// A record is changed so that it names another target. The name that it gave up must end.
+// A record changes to declare another target. The former name must be released.
 #[test]
-fn a_record_that_changes_its_name_gives_the_former_up() {
+fn a_record_that_changes_its_name_releases_the_former() {
     let before = envelope("targets/a", 1, Some(&target("labels-1", 7001)));
     let after = envelope("targets/a", 2, Some(&target("labels-2", 7001)));
 
@@ -65,10 +65,10 @@
     assert_eq!(port(&held, "labels-1"), Some(7001));
 }
 
-// A platform that was restored from a copy gives a revision number out again. Two daemons hold
-// different bytes under one number; they must settle on the same.
+// A platform restored from a copy issues a revision number twice. Two daemons that hold different
+// values under one number must converge on the same one.
 #[test]
-fn one_revision_with_two_values_settles_on_one() {
+fn one_revision_with_two_values_converges_on_one() {
     let here = envelope("targets/a", 5, Some(&target("labels-1", 7001)));
     let there = envelope("targets/a", 5, Some(&target("labels-1", 7002)));
 
@@ -97,8 +97,8 @@
     prop::collection::vec(one, 1..24)
 }
 
-/// All that can be seen of a store.
-fn seen(store: &RecordStore) -> String {
+/// Everything observable of a store, as text.
+fn observable_state(store: &RecordStore) -> String {
     let in_force = store.in_force();
     let targets: Vec<_> = in_force.targets().collect();
     let accounts: Vec<_> = (0..3)
@@ -116,8 +116,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Two daemons get the same records over different ways, some of them twice. Each must come to
-    // the same in force, whatever the order, with invalid records among them.
+    // Two daemons get the same records, invalid ones among them, in different orders and some
+    // twice. Both must have the same in force.
     #[test]
     fn the_order_of_arrival_changes_nothing(
         (records, shuffled) in any_records()
@@ -130,6 +130,6 @@
         let one = store(&records);
         let other = store(&repeated);
 
-        prop_assert_eq!(seen(&one), seen(&other));
+        prop_assert_eq!(observable_state(&one), observable_state(&other));
     }
 }
--- a/crates/core/tests/peers_suite/records_late_start.rs
+++ b/crates/core/tests/peers_suite/records_late_start.rs
@@ -1,4 +1,4 @@
-//! A daemon that starts while the platform is down gets from its peers what is in force.
+//! A daemon that starts while the platform is down gets the records in force from its peers.
 
 use {
     crate::{
@@ -21,7 +21,7 @@
     status(fleet, index, key).and_then(|status| status.in_force)
 }
 
-fn late_starter_after(newest: &str) -> (Fleet, usize) {
+fn late_starter_with_newest(newest: &str) -> (Fleet, usize) {
     let mut fleet = fleet(2, 1);
     fleet
         .platform
@@ -37,11 +37,11 @@
     (fleet, late)
 }
 
-// A broken revision is published, then the platform goes down and a daemon starts. It got the
-// broken revision from its peers and had nothing in force, while its peers served on.
+// An invalid revision is published, then the platform goes down and a daemon starts. It got only
+// the invalid revision from its peers and had nothing in force, while its peers served on.
 #[test]
 fn a_late_starter_gets_the_former_revision_where_the_newest_is_invalid() {
-    let (fleet, late) = late_starter_after("{ broken");
+    let (fleet, late) = late_starter_with_newest("{ broken");
 
     let status = status(&fleet, late, "targets/a").expect("the record is held");
 
@@ -49,22 +49,22 @@
     assert_eq!(status.in_force, Some(Revision(1)));
 }
 
-// A record of a schema that this build doesn't know must travel on untouched, for builds that
-// know it, while the former revision stays in force here.
+// A record of an unknown schema must be passed on unchanged, for builds that know the schema, while
+// the former revision stays in force here.
 #[test]
 fn a_late_starter_gets_an_unknown_schema_untouched_and_the_former_in_force() {
     let value = unknown_schema("x");
-    let (fleet, late) = late_starter_after(&value);
+    let (fleet, late) = late_starter_with_newest(&value);
 
     assert_eq!(in_force(&fleet, late, "targets/a"), Some(Revision(1)));
     let held = status(&fleet, late, "targets/a").expect("held");
     assert_eq!(held.revision, Revision(2));
 }
 
-// Each of the daemons holds the same, so the summaries agree and no one asks any more.
+// All daemons hold the same, so their summaries agree and no further pulls start.
 #[test]
-fn daemons_that_hold_an_invalid_newest_revision_agree() {
-    let (fleet, late) = late_starter_after("{ broken");
+fn daemons_with_an_invalid_newest_revision_agree() {
+    let (fleet, late) = late_starter_with_newest("{ broken");
 
     let status = status(&fleet, late, "targets/a").expect("held");
 
--- a/crates/core/tests/peers_suite/values.rs
+++ b/crates/core/tests/peers_suite/values.rs
@@ -1,4 +1,4 @@
-//! Values of records.
+//! Builders for record values and envelopes.
 
 use {
     std::sync::Arc,
--- a/crates/core/tests/policy/load_book.rs
+++ b/crates/core/tests/policy/load_book.rs
@@ -25,7 +25,7 @@
     }
 }
 
-fn word(number: u64, prefill_left_ms: u64, long_left_ms: u64) -> TargetLoad {
+fn peer_load(number: u64, prefill_left_ms: u64, long_left_ms: u64) -> TargetLoad {
     TargetLoad {
         origin: daemon(1),
         number,
@@ -40,71 +40,70 @@
 }
 
 #[test]
-fn what_was_sent_since_is_added_to_a_lagging_report() {
-    let mut book = LoadBook::default();
+fn prompts_sent_since_are_added_to_a_lagging_report() {
+    let mut tracker = LoadBook::default();
     let mut report = idle(0);
     report.prefill_tokens_left = 4_000;
-    book.reported(MonoMs(1_000), &report, TOKEN_MS);
+    tracker.reported(MonoMs(1_000), &report, TOKEN_MS);
 
-    book.sent(job(1, MonoMs(1_010), 50.0, Weight::Light));
+    tracker.sent(job(1, MonoMs(1_010), 50.0, Weight::Light));
 
-    let left = book.left(MonoMs(1_020));
+    let left = tracker.left(MonoMs(1_020));
     assert!(
         (left.light_ms - (100.0 - 20.0 + 50.0)).abs() < 1e-9,
         "{left:?}"
     );
-    assert_eq!(book.free_tokens(), idle(0).memory_total_tokens - 1_000);
+    assert_eq!(tracker.free_tokens(), idle(0).memory_total_tokens - 1_000);
 }
 
 #[test]
-fn a_report_that_may_be_older_than_what_was_sent_does_not_hide_it() {
-    let mut book = LoadBook::default();
-    book.sent(job(1, MonoMs(900), 50.0, Weight::Light));
+fn a_report_does_not_hide_prompts_sent_just_before_it() {
+    let mut tracker = LoadBook::default();
+    tracker.sent(job(1, MonoMs(900), 50.0, Weight::Light));
 
-    book.reported(MonoMs(1_000), &idle(0), TOKEN_MS);
+    tracker.reported(MonoMs(1_000), &idle(0), TOKEN_MS);
 
-    assert!(book.left(MonoMs(1_000)).light_ms >= 50.0);
+    assert!(tracker.left(MonoMs(1_000)).light_ms >= 50.0);
 }
 
 #[test]
-fn long_work_shrinks_as_time_goes_on_and_ends_with_its_first_token() {
-    let mut book = LoadBook::default();
-    book.sent(job(1, MonoMs(0), 10_000.0, Weight::Long));
+fn long_work_shrinks_over_time_and_ends_with_its_first_token() {
+    let mut tracker = LoadBook::default();
+    tracker.sent(job(1, MonoMs(0), 10_000.0, Weight::Long));
 
-    let halfway = book.left(MonoMs(5_000)).long_ms;
-    let overdue = book.left(MonoMs(20_000)).long_ms;
-    book.ended(AttemptId(1));
+    let halfway = tracker.left(MonoMs(5_000)).long_ms;
+    let overdue = tracker.left(MonoMs(20_000)).long_ms;
+    tracker.ended(AttemptId(1));
 
     assert!((halfway - 5_000.0).abs() < 1e-9);
     assert!(overdue > 0.0, "an overdue prompt still holds others up");
-    assert!(book.left(MonoMs(20_000)).long_ms.abs() < 1e-9);
+    assert!(tracker.left(MonoMs(20_000)).long_ms.abs() < 1e-9);
 }
 
 #[test]
-fn a_peers_older_word_is_no_news_however_late_it_comes() {
-    // What a user would see: an engine that is free gets no long prompts.
-    // A peer says that it sent one and later that it ended; a third daemon passes the first word on
-    // again. Cause: copies that are believed though a newer word was heard.
-    let mut book = LoadBook::default();
-    assert!(book.peer_says(MonoMs(0), &word(1, 9_000, 8_000)));
-    assert!((book.left(MonoMs(0)).long_ms - 8_000.0).abs() < 1e-9);
-    assert!((book.left(MonoMs(0)).medium_ms - 1_000.0).abs() < 1e-9);
-
-    let newer = book.peer_says(MonoMs(100), &word(2, 0, 0));
-    let again = book.peer_says(MonoMs(60_000), &word(1, 9_000, 8_000));
+fn an_older_load_of_a_peer_is_ignored_however_late_it_comes() {
+    // An idle engine got no long prompts: a peer reported a prompt and later its end, then a third
+    // daemon passed on the first report again, and the old copy was believed.
+    let mut tracker = LoadBook::default();
+    assert!(tracker.peer_says(MonoMs(0), &peer_load(1, 9_000, 8_000)));
+    assert!((tracker.left(MonoMs(0)).long_ms - 8_000.0).abs() < 1e-9);
+    assert!((tracker.left(MonoMs(0)).medium_ms - 1_000.0).abs() < 1e-9);
+
+    let newer = tracker.peer_says(MonoMs(100), &peer_load(2, 0, 0));
+    let again = tracker.peer_says(MonoMs(60_000), &peer_load(1, 9_000, 8_000));
 
     assert!(newer);
     assert!(!again);
-    assert!(book.left(MonoMs(60_000)).long_ms.abs() < 1e-9);
+    assert!(tracker.left(MonoMs(60_000)).long_ms.abs() < 1e-9);
 }
 
 #[test]
-fn a_prompt_that_shared_the_target_teaches_nothing() {
-    let mut book = LoadBook::default();
-    book.sent(job(1, MonoMs(0), 100.0, Weight::Light));
-    assert!(book.sample(MonoMs(100), AttemptId(1)).is_some());
+fn a_prompt_that_shared_the_target_is_no_sample() {
+    let mut tracker = LoadBook::default();
+    tracker.sent(job(1, MonoMs(0), 100.0, Weight::Light));
+    assert!(tracker.sample(MonoMs(100), AttemptId(1)).is_some());
 
-    book.sent(job(2, MonoMs(10), 80.0, Weight::Light));
+    tracker.sent(job(2, MonoMs(10), 80.0, Weight::Light));
 
-    assert!(book.sample(MonoMs(200), AttemptId(1)).is_none());
+    assert!(tracker.sample(MonoMs(200), AttemptId(1)).is_none());
 }
--- a/crates/core/tests/policy/prefill_cost.rs
+++ b/crates/core/tests/policy/prefill_cost.rs
@@ -2,7 +2,7 @@
 
 const RATE: u64 = 40_000;
 
-fn truth() -> PrefillCost {
+fn true_cost() -> PrefillCost {
     PrefillCost {
         token_ms: 0.03,
         pair_ms: 2.0e-7,
@@ -17,13 +17,13 @@
     }
 }
 
-fn off_by(guess: &PrefillCost, truth: &PrefillCost, tokens: u64) -> f64 {
-    (guess.read_ms(0, tokens, 1) / truth.read_ms(0, tokens, 1) - 1.0).abs()
+fn relative_error(guess: &PrefillCost, true_cost: &PrefillCost, tokens: u64) -> f64 {
+    (guess.read_ms(0, tokens, 1) / true_cost.read_ms(0, tokens, 1) - 1.0).abs()
 }
 
 #[test]
-fn a_million_tokens_cost_far_more_than_a_thousand_times_a_thousand() {
-    let cost = truth();
+fn a_million_tokens_cost_far_more_than_a_thousand_prompts_of_a_thousand() {
+    let cost = true_cost();
 
     let short = cost.read_ms(0, 1_000, 1);
     let long = cost.read_ms(0, 1_000_000, 1);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_record_is_believed_until_something_is_learnt() {
+fn the_stated_rate_is_used_until_samples_arrive() {
     let fleet = CostSums::stated();
 
     let cost = CostSums::default().cost(&fleet, RATE);
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn both_parts_are_learnt_from_answers() {
+fn both_parts_are_learned_from_samples() {
     let mut own = CostSums::default();
     let mut fleet = CostSums::stated();
     for round in 0..100 {
-        let sample = sample(&truth(), 2_000 + round * 2_000);
+        let sample = sample(&true_cost(), 2_000 + round * 2_000);
         own.learn(&sample, RATE);
         fleet.learn(&sample, RATE);
     }
@@ -54,15 +54,18 @@
     let cost = own.cost(&fleet, RATE);
 
     for tokens in [2_000, 50_000, 1_000_000] {
-        assert!(off_by(&cost, &truth(), tokens) < 0.02, "{tokens}: {cost:?}");
+        assert!(
+            relative_error(&cost, &true_cost(), tokens) < 0.02,
+            "{tokens}: {cost:?}"
+        );
     }
 }
 
 #[test]
-fn a_slow_target_is_told_from_the_fleet() {
+fn a_slow_target_is_distinguished_from_the_fleet() {
     let mut fleet = CostSums::stated();
     for round in 0..100 {
-        fleet.learn(&sample(&truth(), 2_000 + round * 2_000), RATE);
+        fleet.learn(&sample(&true_cost(), 2_000 + round * 2_000), RATE);
     }
     let slow = PrefillCost {
         token_ms: 0.09,
@@ -75,7 +78,7 @@
 
     let cost = own.cost(&fleet, RATE);
 
-    assert!(off_by(&cost, &slow, 100_000) < 0.3, "{cost:?}");
+    assert!(relative_error(&cost, &slow, 100_000) < 0.3, "{cost:?}");
 }
 
 #[test]
