--- a/crates/core/src/core/links.rs
+++ b/crates/core/src/core/links.rs
@@ -4,7 +4,7 @@
     super::Core,
     crate::{
         action::Action,
-        peers::{FULL_MESH, Place, Ring},
+        peers::{MAX_FULL_MESH_DAEMONS, Ring, RingNode},
         time::MonoMs,
     },
     std::{
@@ -40,13 +40,13 @@
 }
 
 impl RingLinks {
-    fn follow(&mut self, own: &Place, places: BTreeMap<SocketAddr, FailureDomain>) {
+    fn follow(&mut self, own: &RingNode, places: BTreeMap<SocketAddr, FailureDomain>) {
         if self.places == places {
             return;
         }
         let others = places
             .iter()
-            .map(|(address, domain)| Place::new(*address, domain));
+            .map(|(address, domain)| RingNode::new(*address, domain));
         self.links = Ring::new(others.chain([own.clone()])).linked_with(own);
         self.places = places;
     }
@@ -69,12 +69,15 @@
         if due {
             self.wanted.addresses = self.wanted_links(now);
             self.wanted.refreshed = Some(now);
-            for peer in self.links.surplus(now, &self.wanted.addresses) {
+            for peer in self.links.excess_links(now, &self.wanted.addresses) {
                 self.close_link(peer, true);
             }
         }
         let own = self.options.peer_address;
-        for address in self.links.to_open(now, own, &self.wanted.addresses) {
+        for address in self
+            .links
+            .addresses_to_open(now, own, &self.wanted.addresses)
+        {
             self.act(Action::Link { address });
         }
     }
@@ -82,38 +85,38 @@
     /// A daemon that was paused has heard nobody. It wakes with a view in which all others are
     /// silent, would cut its links and tell that they are dead; so it doubts itself first.
     pub(super) fn notice_pause(&mut self, now: MonoMs) {
-        if self.members.was_paused(now) {
-            self.members.doubt_all(now);
-            self.links.doubt_all(now);
+        if self.members.detect_pause(now) {
+            self.members.on_process_resumed(now);
+            self.links.reset_silence(now);
         }
     }
 
     /// Closes links that fell silent; they are opened afresh, and only if that fails too is the
     /// peer suspected.
     fn renew_silent_links(&mut self, now: MonoMs) {
-        for peer in self.links.silent(now) {
+        for peer in self.links.silent_peers(now) {
             let address = self
                 .members
                 .get(peer)
                 .map(|member| member.news.peer_address);
             self.close_link(peer, false);
             if let Some(address) = address {
-                self.links.open_at_once(now, address);
+                self.links.retry_immediately(now, address);
             }
         }
     }
 
     fn close_link(&mut self, peer: Incarnation, on_purpose: bool) {
-        self.links.closed(Some(peer));
-        self.members.unlinked(peer, on_purpose);
-        self.pulls.closed(peer);
+        self.links.on_closed(Some(peer));
+        self.members.on_link_closed(peer, on_purpose);
+        self.pulls.on_link_closed(peer);
         self.act(Action::Unlink { peer });
     }
 
     fn wanted_links(&mut self, now: MonoMs) -> BTreeSet<SocketAddr> {
-        let own = Place::new(self.options.peer_address, &self.options.failure_domain);
+        let own = RingNode::new(self.options.peer_address, &self.options.failure_domain);
         let (sure, doubtful) = self.places();
-        let small = sure.len() + doubtful.len() < FULL_MESH;
+        let small = sure.len() + doubtful.len() < MAX_FULL_MESH_DAEMONS;
         let mut wanted = if small {
             sure.keys().chain(doubtful.iter()).copied().collect()
         } else {
--- a/crates/core/src/core/on_attempt.rs
+++ b/crates/core/src/core/on_attempt.rs
@@ -86,7 +86,7 @@
         if refusal.reason == RefusalReason::Leaving
             && self
                 .targets
-                .worsen(&flight.target, flight.incarnation, health)
+                .worsen_health(&flight.target, flight.incarnation, health)
         {
             self.leaves(now, &flight.target, flight.incarnation, "its refusal");
         }
--- a/crates/core/src/core/on_group.rs
+++ b/crates/core/src/core/on_group.rs
@@ -5,7 +5,7 @@
     crate::{
         action::{Action, TargetCall},
         decisions::Part as DecisionPart,
-        fleet::Claim,
+        fleet::QueuedPrompt,
         placement::{
             ChosenGroup, DueGroup, Group, GroupState, NoGroup, Part, RESERVE_WITHIN_MS, Waiter,
         },
@@ -126,14 +126,14 @@
             self.untold.extend(chosen.targets.iter().cloned());
             group.claimed.clone_from(&chosen.targets);
         }
-        let claim = Claim {
-            claim: waiter.claim,
+        let claim = QueuedPrompt {
+            id: waiter.claim,
             since: waiter.since,
             read_ms: chosen.read_ms,
         };
         for target in &group.claimed {
             if let Some(state) = self.targets.get_mut(target) {
-                state.load.claim(claim);
+                state.load.enqueue(claim);
             }
         }
     }
@@ -141,7 +141,7 @@
     fn unclaim(&mut self, group: &Group) {
         for target in &group.claimed {
             let state = self.targets.get_mut(target);
-            if state.is_some_and(|state| state.load.unclaim(group.claim)) {
+            if state.is_some_and(|state| state.load.dequeue(group.claim)) {
                 self.untold.push(target.clone());
             }
         }
--- a/crates/core/src/core/on_load.rs
+++ b/crates/core/src/core/on_load.rs
@@ -4,7 +4,7 @@
     super::Core,
     crate::{
         action::Action,
-        fleet::Job,
+        fleet::SentPrompt,
         requests::{Flight, Request},
         routing::{Ask, Choice, Weight, tokens_of},
         time::MonoMs,
@@ -42,17 +42,17 @@
         let policy = self.records.in_force().policy();
         let ask = Ask::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let group = self.groups.get(request);
-        let job = Job {
+        let job = SentPrompt {
             attempt,
-            sent: now,
+            sent_at: now,
             wait_ms: choice.wait_ms,
             tokens: ask.prompt_tokens(),
             engines: group.map_or(1, |group| group.parts.len()),
             read_ms: choice.read_ms,
-            helps: false,
+            is_helper: false,
             memory_tokens: group.map_or(tokens_of(ask.work), |group| group.part_tokens),
             weight: ask.weight,
-            clean: choice.wait_ms <= choice.read_ms * CLEAN_PART,
+            is_sample: choice.wait_ms <= choice.read_ms * CLEAN_PART,
         };
         let mut touched = vec![choice.target.clone()];
         if let Some(group) = group {
@@ -61,8 +61,8 @@
         }
         for target in &touched {
             if let Some(state) = self.targets.get_mut(target) {
-                let helps = *target != choice.target;
-                state.load.sent(Job { helps, ..job });
+                let is_helper = *target != choice.target;
+                state.load.record_sent(SentPrompt { is_helper, ..job });
             }
         }
         if job.weight > Weight::Light {
@@ -82,7 +82,7 @@
             return;
         };
         if let Some(sample) = state.load.sample(now, attempt) {
-            self.targets.learn(&flight.target, &sample);
+            self.targets.add_sample(&flight.target, &sample);
         }
         self.forget_load(&flight);
     }
@@ -91,7 +91,7 @@
     pub(super) fn forget_load(&mut self, flight: &Flight) {
         for target in [&flight.target].into_iter().chain(&flight.helpers) {
             let state = self.targets.get_mut(target);
-            let ended = state.and_then(|state| state.load.ended(flight.attempt));
+            let ended = state.and_then(|state| state.load.remove(flight.attempt));
             if ended.is_some_and(|job| job.weight > Weight::Light) {
                 self.untold.push(target.clone());
             }
@@ -146,9 +146,9 @@
     fn load_of(&mut self, now: MonoMs, target: &TargetName) -> Option<TargetLoad> {
         self.load_number += 1;
         let state = self.targets.get(target)?;
-        let medium_ms = state.load.own_ms(now, Weight::Medium);
-        let long_ms = state.load.own_ms(now, Weight::Long);
-        let (claimed_ms, since) = state.load.own_claims();
+        let medium_ms = state.load.own_remaining_ms(now, Weight::Medium);
+        let long_ms = state.load.own_remaining_ms(now, Weight::Long);
+        let (claimed_ms, since) = state.load.own_queued();
         Some(TargetLoad {
             origin: self.options.incarnation,
             number: self.load_number,
@@ -169,7 +169,7 @@
         let mut fresh = Vec::new();
         for load in loads.iter().filter(|load| load.origin != own) {
             let state = self.targets.get_mut(&load.target);
-            if state.is_some_and(|state| state.load.peer_says(now, load)) {
+            if state.is_some_and(|state| state.load.apply_peer_load(now, load)) {
                 fresh.push(load.clone());
             }
         }
--- a/crates/core/src/core/on_peer.rs
+++ b/crates/core/src/core/on_peer.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Core,
-    crate::{decisions::Part, fleet::Told, time::MonoMs},
+    crate::{decisions::Part, fleet::MergeResult, time::MonoMs},
     std::net::SocketAddr,
     whinlatch_wire::{
         ids::Incarnation,
@@ -13,9 +13,9 @@
 impl Core {
     pub(super) fn on_peer_up(&mut self, now: MonoMs, hello: &Hello) {
         let peer = hello.incarnation;
-        let superseded = self.members.linked(now, hello);
-        self.links.opened(now, peer, hello.peer_address);
-        self.pulls.closed(peer);
+        let superseded = self.members.on_link_opened(now, hello);
+        self.links.on_opened(now, peer, hello.peer_address);
+        self.pulls.on_link_closed(peer);
         let text = format!("link to {} is open", hello.instance);
         self.decide(now, Part::Peers, None, text);
         self.tell_members(superseded);
@@ -31,28 +31,28 @@
             .iter()
             .cloned()
             .partition(|news| news.incarnation == peer);
-        self.links.tell(peer, &of_members(members));
+        self.links.enqueue(peer, &of_members(members));
         // What is held against the peer itself is told too: it may contradict.
-        self.links.tell(peer, &of_members(of_peer.clone()));
-        self.links.spread(&of_members(of_peer), Some(peer));
+        self.links.enqueue(peer, &of_members(of_peer.clone()));
+        self.links.broadcast(&of_members(of_peer), Some(peer));
     }
 
     pub(super) fn on_peer_down(&mut self, _address: SocketAddr, peer: Option<Incarnation>) {
-        self.links.closed(peer);
+        self.links.on_closed(peer);
         if let Some(peer) = peer {
-            self.members.unlinked(peer, false);
-            self.pulls.closed(peer);
+            self.members.on_link_closed(peer, false);
+            self.pulls.on_link_closed(peer);
         }
     }
 
     pub(super) fn on_peer_frame(&mut self, now: MonoMs, from: Incarnation, frame: &PeerFrame) {
-        self.members.heard(now, from);
-        self.links.heard(now, from);
+        self.members.on_frame(now, from);
+        self.links.on_frame(now, from);
         if !frame.records.is_empty() {
             self.on_peer_records(now, from, &frame.records);
         }
         if let Some(heartbeat) = &frame.heartbeat {
-            self.links.holds(from, &heartbeat.records);
+            self.links.set_summary(from, &heartbeat.records);
             self.compare_records(now, from, &heartbeat.records);
         }
         if let Some(pull) = &frame.pull {
@@ -71,18 +71,18 @@
     }
 
     fn on_stamps(&mut self, now: MonoMs, from: Incarnation, stamps: &[MemberStamp]) {
-        let lacking = self.members.take_stamps(now, stamps);
-        self.links.tell(from, &of_members(lacking));
+        let lacking = self.members.apply_stamps(now, stamps);
+        self.links.enqueue(from, &of_members(lacking));
     }
 
     fn take_news(&mut self, now: MonoMs, from: Incarnation, news: &News) {
         let mut fresh = News::default();
         for member in &news.members {
             match self.members.merge(now, member) {
-                Told::Known => {}
-                Told::News => fresh.members.push(member.clone()),
-                Told::Refuted => self.tell_members(vec![self.members.own().clone()]),
-                Told::Superseded => {
+                MergeResult::Unchanged => {}
+                MergeResult::Changed => fresh.members.push(member.clone()),
+                MergeResult::Refuted => self.tell_members(vec![self.members.own().clone()]),
+                MergeResult::Superseded => {
                     let text = "another run has taken this one's place".to_owned();
                     self.decide(now, Part::Fleet, None, text);
                     self.on_stop(now);
@@ -92,7 +92,7 @@
         for target in &news.targets {
             if self
                 .targets
-                .worsen(&target.target, target.incarnation, target.health)
+                .worsen_health(&target.target, target.incarnation, target.health)
             {
                 fresh.targets.push(target.clone());
             }
@@ -103,11 +103,11 @@
             }
         }
         fresh.loads = self.take_loads(now, &news.loads);
-        self.links.spread(&fresh, Some(from));
+        self.links.broadcast(&fresh, Some(from));
     }
 
     fn tell_members(&mut self, members: Vec<MemberNews>) {
-        self.links.spread(&of_members(members), None);
+        self.links.broadcast(&of_members(members), None);
     }
 
     /// Judges who is silent, and tells what changed.
@@ -118,7 +118,7 @@
             self.decide(now, Part::Fleet, None, text);
         }
         if self.leaving_since.is_some() {
-            told.extend(self.members.leave());
+            told.extend(self.members.start_leaving());
         }
         self.tell_members(told);
     }
@@ -127,7 +127,7 @@
         self.notice_pause(now);
         self.judge_members(now);
         let summary = self.records.summary();
-        let stamps_to = self.links.stamps_to(now);
+        let stamps_to = self.links.next_stamps_recipient(now);
         if let Some(to) = stamps_to {
             let alive = self.members.stamps(now);
             self.send(
@@ -138,7 +138,7 @@
                 },
             );
         }
-        for (to, frame) in self.links.beats(now, &summary) {
+        for (to, frame) in self.links.due_frames(now, &summary) {
             self.send(to, frame);
         }
     }
--- a/crates/core/src/core/on_platform.rs
+++ b/crates/core/src/core/on_platform.rs
@@ -7,7 +7,7 @@
         decisions::Part,
         event::PlatformEvent,
         fleet::Watchers,
-        records::{Absent, FullRead, PlatformRead, ReaderRole},
+        records::{FullRead, MissingRecords, PlatformRead, ReaderRole},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -19,7 +19,7 @@
 impl Core {
     pub(super) fn read_platform(&mut self, now: MonoMs) {
         let (role, reads_per_s) = self.reader_share();
-        for read in self.platform.due(now, role, reads_per_s) {
+        for read in self.platform.due_reads(now, role, reads_per_s) {
             self.act(match read {
                 PlatformRead::Records { after, wait_ms } => Action::ReadRecords { after, wait_ms },
                 PlatformRead::List => Action::ReadInstances,
@@ -35,12 +35,12 @@
             .alive()
             .map(|member| (&member.news.failure_domain, member.news.incarnation));
         let alive = std::iter::once((&self.options.failure_domain, own)).chain(others);
-        let mut watchers = Watchers::among(own, alive);
+        let mut watchers = Watchers::elect(own, alive);
         // Until it knows the others, a daemon takes the list's word for how many there are.
         let listed = self.list.as_ref().map_or(0, |list| list.daemons.len());
-        watchers.count += listed.saturating_sub(watchers.daemons);
-        watchers.daemons = watchers.daemons.max(listed);
-        let role = if watchers.own {
+        watchers.watcher_count += listed.saturating_sub(watchers.daemon_count);
+        watchers.daemon_count = watchers.daemon_count.max(listed);
+        let role = if watchers.includes_self {
             ReaderRole::Watcher
         } else {
             ReaderRole::Backstop
@@ -54,8 +54,8 @@
             PlatformEvent::Records(page) => self.on_page(now, &page),
             PlatformEvent::HistoryGone => self.platform.on_history_gone(now),
             PlatformEvent::Instances(list) => self.on_list(now, list),
-            PlatformEvent::RecordsFailed => self.platform.records_failed(now, &mut self.rng),
-            PlatformEvent::InstancesFailed => self.platform.list_failed(now, &mut self.rng),
+            PlatformEvent::RecordsFailed => self.platform.on_records_failed(now, &mut self.rng),
+            PlatformEvent::InstancesFailed => self.platform.on_list_failed(now, &mut self.rng),
         }
         self.read_platform(now);
     }
@@ -72,11 +72,11 @@
         if !self.platform.absence_is_deletion(full) {
             return;
         }
-        match self.records.absent_from(full) {
-            Absent::None => {}
+        match self.records.find_missing(full) {
+            MissingRecords::None => {}
             // A peer's push may have overtaken the last page: look again.
-            Absent::Stale => self.platform.read_all_again(),
-            Absent::Deleted(tombstones) => {
+            MissingRecords::Stale => self.platform.request_deletion_scan(),
+            MissingRecords::Deleted(tombstones) => {
                 let text = format!("the platform no longer names {} records", tombstones.len());
                 self.decide(now, Part::Records, None, text);
                 self.merge_records(now, &tombstones, None);
@@ -101,7 +101,7 @@
     fn follow_list(&mut self, now: MonoMs, list: &InstanceList) {
         let mut news = News::default();
         for listed in &list.targets {
-            if !self.targets.listed(listed) {
+            if !self.targets.apply_list_entry(listed) {
                 continue;
             }
             let text = format!("{} is leaving, says the list", listed.target);
@@ -112,7 +112,7 @@
                 health: TargetHealth::Leaving,
             });
         }
-        self.links.spread(&news, None);
+        self.links.broadcast(&news, None);
         let own = list
             .daemons
             .iter()
--- a/crates/core/src/core/on_poison.rs
+++ b/crates/core/src/core/on_poison.rs
@@ -163,7 +163,7 @@
             .filter(|target| {
                 self.targets
                     .get(target)
-                    .is_some_and(TargetState::takes_work)
+                    .is_some_and(TargetState::accepts_work)
             })
     }
 
@@ -237,6 +237,6 @@
         None => Fate::Unsure,
         Some(state) if state.incarnation != Some(run) => Fate::Dead,
         Some(state) if state.health == TargetHealth::Gone => Fate::Dead,
-        Some(state) => Fate::Alive(state.reported),
+        Some(state) => Fate::Alive(state.reported_at),
     }
 }
--- a/crates/core/src/core/on_records.rs
+++ b/crates/core/src/core/on_records.rs
@@ -29,7 +29,7 @@
         theirs: &RecordSummary,
     ) {
         let own = self.records.summary();
-        if !self.pulls.begin(now, peer, &own, theirs) {
+        if !self.pulls.try_begin(now, peer, &own, theirs) {
             return;
         }
         let buckets = self.records.buckets().digests().to_vec();
@@ -55,7 +55,7 @@
     pub(super) fn answer_pull(&mut self, peer: Incarnation, pull: &RecordPull) {
         if !pull.buckets.is_empty() {
             let stamps = self.records.listing(&pull.buckets);
-            self.links.holds_buckets(peer, &pull.buckets);
+            self.links.set_buckets(peer, &pull.buckets);
             self.send(
                 peer,
                 PeerFrame {
@@ -67,7 +67,7 @@
         if pull.keys.is_empty() {
             return;
         }
-        let records = self.records.of_keys(&pull.keys, ANSWER_BYTES);
+        let records = self.records.envelopes_of(&pull.keys, ANSWER_BYTES);
         for records in frames_of(records) {
             self.send(
                 peer,
@@ -87,20 +87,20 @@
     }
 
     pub(super) fn on_listing(&mut self, now: MonoMs, peer: Incarnation, listing: &RecordListing) {
-        let wanted = self.records.wanted(&listing.stamps);
-        let keys = self.pulls.listed(now, peer, wanted);
+        let wanted = self.records.wanted_keys(&listing.stamps);
+        let keys = self.pulls.on_listing(now, peer, wanted);
         self.pull_keys_or_settle(peer, keys);
     }
 
     pub(super) fn on_pull_done(&mut self, now: MonoMs, peer: Incarnation) {
-        let keys = self.pulls.answered(now, peer);
+        let keys = self.pulls.on_response_end(now, peer);
         self.pull_keys_or_settle(peer, keys);
     }
 
     fn pull_keys_or_settle(&mut self, peer: Incarnation, keys: Vec<u64>) {
         if keys.is_empty() {
             let theirs = self.links.summary_of(peer);
-            self.pulls.settle(peer, self.records.summary(), theirs);
+            self.pulls.finish(peer, self.records.summary(), theirs);
             return;
         }
         self.pull(
@@ -120,7 +120,8 @@
     ) {
         self.merge_records(now, records, Some(from));
         for envelope in records {
-            self.pulls.got(now, from, records::key_hash(&envelope.key));
+            self.pulls
+                .on_record(now, from, records::key_hash(&envelope.key));
         }
     }
 
@@ -150,13 +151,13 @@
         if fresh.is_empty() {
             return;
         }
-        self.targets.follow(self.records.in_force());
+        self.targets.apply_records(self.records.in_force());
         self.follow_known_list(now);
         self.push_records(&fresh, from);
     }
 
     fn push_records(&mut self, fresh: &[RecordEnvelope], except: Option<Incarnation>) {
-        let bytes: usize = fresh.iter().map(records::size).sum();
+        let bytes: usize = fresh.iter().map(records::frame_bytes).sum();
         if bytes > PUSH_BYTES {
             return;
         }
@@ -189,11 +190,11 @@
     let mut frames: Vec<Vec<RecordEnvelope>> = Vec::new();
     let mut bytes = FRAME_BYTES;
     for envelope in records {
-        bytes += records::size(&envelope);
+        bytes += records::frame_bytes(&envelope);
         match frames.last_mut() {
             Some(frame) if bytes <= FRAME_BYTES => frame.push(envelope),
             _ => {
-                bytes = records::size(&envelope);
+                bytes = records::frame_bytes(&envelope);
                 frames.push(vec![envelope]);
             }
         }
--- a/crates/core/src/core/on_target.rs
+++ b/crates/core/src/core/on_target.rs
@@ -39,14 +39,14 @@
     fn on_report(&mut self, now: MonoMs, target: &TargetName, report: LoadReport) {
         self.watch_holdings(now, target, &report);
         let incarnation = report.incarnation;
-        if self.targets.reported(now, target, report) {
+        if self.targets.apply_report(now, target, report) {
             self.leaves(now, target, incarnation, "its own report");
         }
     }
 
     fn on_unreachable(&mut self, now: MonoMs, target: &TargetName) {
         self.orderer.unreachable(target);
-        if self.targets.missed(target) {
+        if self.targets.record_missed_report(target) {
             let text = format!("{target} gets nothing new: it answers no reads");
             self.decide(now, Part::Fleet, None, text);
         }
@@ -67,7 +67,7 @@
             incarnation,
             health: TargetHealth::Leaving,
         };
-        self.links.spread(
+        self.links.broadcast(
             &News {
                 targets: vec![news],
                 ..News::default()
--- a/crates/core/src/core/reports.rs
+++ b/crates/core/src/core/reports.rs
@@ -73,7 +73,7 @@
             platform: PlatformStatus {
                 reachable: self.platform.reachable,
                 reads: self.platform.reads,
-                last_answer_ms: self.platform.answered.map(|at| now.since(at)),
+                last_answer_ms: self.platform.last_answered_at.map(|at| now.since(at)),
             },
             newest_revision: self.records.newest(),
             peers: self.peer_statuses(),
@@ -136,7 +136,7 @@
     fn holders(&self, bucket: usize) -> Vec<InstanceName> {
         let mut holders: Vec<InstanceName> = self
             .links
-            .in_agreement(&self.records, bucket)
+            .peers_in_agreement(&self.records, bucket)
             .filter_map(|peer| self.members.get(peer))
             .map(|member| member.news.instance.clone())
             .collect();
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Membership of the fleet, and the health and load of targets as seen by this daemon.
 
-mod load_book;
+mod load_tracker;
 mod members;
 mod prefill_cost;
 mod target_state;
@@ -8,9 +8,9 @@
 mod watchers;
 
 pub use {
-    load_book::{Claim, Job, LeftWork, LoadBook},
-    members::{Member, Members, Told},
-    prefill_cost::{CostSums, PrefillCost, ReadSample},
+    load_tracker::{LoadTracker, QueuedPrompt, RemainingWork, SentPrompt},
+    members::{Member, Members, MergeResult},
+    prefill_cost::{CostRegression, PrefillCost, PrefillSample},
     target_state::TargetState,
     targets::Targets,
     watchers::Watchers,
--- a/crates/core/src/fleet/load_book.rs
+++ b/crates/core/src/fleet/load_tracker.rs
@@ -1,5 +1,5 @@
 use {
-    super::ReadSample,
+    super::PrefillSample,
     crate::{routing::Weight, time::MonoMs},
     whinlatch_wire::{
         ids::{AttemptId, Incarnation},
@@ -20,11 +20,11 @@
 
 /// A prompt sent to a target that hasn't returned its first token yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Job {
+pub struct SentPrompt {
     /// Attempt that sent the prompt.
     pub attempt: AttemptId,
     /// Time at which it was sent.
-    pub sent: MonoMs,
+    pub sent_at: MonoMs,
     /// Predicted time in the target's queue, in ms from `sent`.
     pub wait_ms: f64,
     /// Length of the prompt, in tokens.
@@ -34,14 +34,14 @@
     /// Predicted prefill time once its turn has come, in ms.
     pub read_ms: f64,
     /// Whether the target only helps another engine to prefill it.
-    pub helps: bool,
+    pub is_helper: bool,
     /// Memory it takes at this target, in tokens.
     pub memory_tokens: u64,
     /// Weight class by prefill time, which decides how long it delays others.
     pub weight: Weight,
     /// Whether its time to first token is a sample of the target's read rate: nothing ran before it
     /// and no prefix of it was cached.
-    pub clean: bool,
+    pub is_sample: bool,
 }
 
 /// Retention of a peer's latest load update, in ms. It exceeds the time for which any copy is
@@ -52,11 +52,11 @@
 /// ms.
 const PEER_QUEUE_TTL_MS: u64 = 5_000;
 
-/// A long prompt of this daemon that is queued for a target and not sent yet.
+/// A long prompt of this daemon that is queued for a target and not sent yet; peers are told of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Claim {
+pub struct QueuedPrompt {
     /// Identifies the queued prompt.
-    pub claim: AttemptId,
+    pub id: AttemptId,
     /// Time at which the request was accepted; the longest waiting goes first.
     pub since: MonoMs,
     /// Predicted prefill time, in ms.
@@ -65,7 +65,7 @@
 
 /// Work that remains at a target, by weight class.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct LeftWork {
+pub struct RemainingWork {
     /// Prefill time of light prompts, in ms.
     pub light_ms: f64,
     /// Prefill time of medium prompts, in ms.
@@ -85,16 +85,16 @@
     medium_ends_at: MonoMs,
     long_ends_at: MonoMs,
     helping_ends_at: MonoMs,
-    claimed_ms: u64,
+    queued_ms: u64,
     oldest_queued_since: MonoMs,
 }
 
 /// Load of a target as seen by this daemon: the target's lagging reports, corrected by the prompts
 /// sent from here since, and the medium and long prompts that peers announce as they send them.
 #[derive(Debug, Clone, Default)]
-pub struct LoadBook {
-    jobs: Vec<Job>,
-    claims: Vec<Claim>,
+pub struct LoadTracker {
+    sent: Vec<SentPrompt>,
+    queued: Vec<QueuedPrompt>,
     peers: Vec<PeerLoad>,
     reported_at: MonoMs,
     reported_ms: f64,
@@ -104,53 +104,56 @@
     running: u32,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Adds a prompt that was just sent.
-    pub fn sent(&mut self, job: Job) {
-        for other in &mut self.jobs {
-            other.clean &= job.read_ms <= other.read_ms * MAX_OVERLAP_FRACTION;
+    pub fn record_sent(&mut self, prompt: SentPrompt) {
+        for other in &mut self.sent {
+            other.is_sample &= prompt.read_ms <= other.read_ms * MAX_OVERLAP_FRACTION;
         }
-        if job.weight == Weight::Light {
-            self.light_sent_since_report_ms += job.read_ms;
+        if prompt.weight == Weight::Light {
+            self.light_sent_since_report_ms += prompt.read_ms;
         }
-        self.sent_since_report_tokens += job.memory_tokens;
-        self.jobs.push(job);
+        self.sent_since_report_tokens += prompt.memory_tokens;
+        self.sent.push(prompt);
     }
 
     /// Returns the read-rate sample of a prompt whose first token arrived; `None` if the attempt is
     /// unknown or other work distorted its time.
-    pub fn sample(&self, now: MonoMs, attempt: AttemptId) -> Option<ReadSample> {
-        let job = self.jobs.iter().find(|job| job.attempt == attempt)?;
-        job.clean.then_some(ReadSample {
-            tokens: job.tokens,
-            engines: job.engines,
-            took_ms: now.since(job.sent) as f64,
+    pub fn sample(&self, now: MonoMs, attempt: AttemptId) -> Option<PrefillSample> {
+        let prompt = self.sent.iter().find(|prompt| prompt.attempt == attempt)?;
+        prompt.is_sample.then_some(PrefillSample {
+            tokens: prompt.tokens,
+            engines: prompt.engines,
+            took_ms: now.since(prompt.sent_at) as f64,
         })
     }
 
     /// Removes a prompt at its first token, failure or cancellation.
-    pub fn ended(&mut self, attempt: AttemptId) -> Option<Job> {
-        let index = self.jobs.iter().position(|job| job.attempt == attempt)?;
-        Some(self.jobs.swap_remove(index))
+    pub fn remove(&mut self, attempt: AttemptId) -> Option<SentPrompt> {
+        let index = self
+            .sent
+            .iter()
+            .position(|prompt| prompt.attempt == attempt)?;
+        Some(self.sent.swap_remove(index))
     }
 
     /// Applies a load report. `token_ms` is the target's time to read one token, in ms.
-    pub fn reported(&mut self, now: MonoMs, report: &LoadReport, token_ms: f64) {
+    pub fn apply_report(&mut self, now: MonoMs, report: &LoadReport, token_ms: f64) {
         self.reported_at = now;
         self.reported_ms = report.prefill_tokens_left as f64 * token_ms;
         self.running = report.running;
         self.free_tokens = report
             .memory_total_tokens
             .saturating_sub(report.memory_used_tokens);
-        let may_be_missing = |job: &&Job| now.since(job.sent) <= MAX_REPORT_LAG_MS;
-        let jobs = self.jobs.iter().filter(may_be_missing);
-        self.sent_since_report_tokens = jobs.clone().map(|job| job.memory_tokens).sum();
-        let light = jobs.filter(|job| job.weight == Weight::Light);
-        self.light_sent_since_report_ms = light.map(|job| job.read_ms).sum();
+        let may_be_missing = |prompt: &&SentPrompt| now.since(prompt.sent_at) <= MAX_REPORT_LAG_MS;
+        let sent = self.sent.iter().filter(may_be_missing);
+        self.sent_since_report_tokens = sent.clone().map(|prompt| prompt.memory_tokens).sum();
+        let light = sent.filter(|prompt| prompt.weight == Weight::Light);
+        self.light_sent_since_report_ms = light.map(|prompt| prompt.read_ms).sum();
     }
 
     /// Applies a peer's load update. Returns whether it is newer than the last one from that peer.
-    pub fn peer_says(&mut self, now: MonoMs, load: &TargetLoad) -> bool {
+    pub fn apply_peer_load(&mut self, now: MonoMs, load: &TargetLoad) -> bool {
         let update = PeerLoad {
             origin: load.origin,
             number: load.number,
@@ -158,7 +161,7 @@
             medium_ends_at: now + load.prefill_left_ms.saturating_sub(load.long_left_ms),
             long_ends_at: now + load.long_left_ms,
             helping_ends_at: now + load.helping_ms,
-            claimed_ms: load.claimed_ms,
+            queued_ms: load.claimed_ms,
             oldest_queued_since: MonoMs(now.0.saturating_sub(load.claim_age_ms)),
         };
         self.peers.retain(|work| {
@@ -179,56 +182,59 @@
     }
 
     /// Adds a long prompt that waits for its turn here; replaces one with the same id.
-    pub fn claim(&mut self, claim: Claim) {
-        self.unclaim(claim.claim);
-        self.claims.push(claim);
+    pub fn enqueue(&mut self, prompt: QueuedPrompt) {
+        self.dequeue(prompt.id);
+        self.queued.push(prompt);
     }
 
     /// Removes a queued prompt. Returns whether there was one.
-    pub fn unclaim(&mut self, claim: AttemptId) -> bool {
-        let before = self.claims.len();
-        self.claims.retain(|held| held.claim != claim);
-        self.claims.len() < before
+    pub fn dequeue(&mut self, id: AttemptId) -> bool {
+        let before = self.queued.len();
+        self.queued.retain(|queued| queued.id != id);
+        self.queued.len() < before
     }
 
     /// Returns the total prefill time of this daemon's queued prompts, in ms, and the time since
     /// which the oldest waits.
-    pub fn own_claims(&self) -> (f64, Option<MonoMs>) {
-        let total_ms = self.claims.iter().map(|claim| claim.read_ms).sum();
-        (total_ms, self.claims.iter().map(|claim| claim.since).min())
+    pub fn own_queued(&self) -> (f64, Option<MonoMs>) {
+        let total_ms = self.queued.iter().map(|queued| queued.read_ms).sum();
+        (
+            total_ms,
+            self.queued.iter().map(|queued| queued.since).min(),
+        )
     }
 
     /// Returns whether this daemon has a long prompt here, sent or queued.
     pub fn has_long(&self) -> bool {
-        !self.claims.is_empty() || self.jobs.iter().any(|job| job.weight == Weight::Long)
+        !self.queued.is_empty() || self.sent.iter().any(|prompt| prompt.weight == Weight::Long)
     }
 
     /// Returns the prefill time, in ms, of queued long prompts that go before a request that waits
     /// since `since`: those that wait longer. A prompt that takes many engines thus isn't overtaken
     /// by prompts that take few.
-    pub fn claimed_before_ms(&self, now: MonoMs, since: MonoMs, claim: AttemptId) -> f64 {
+    pub fn queued_ahead_ms(&self, now: MonoMs, since: MonoMs, id: AttemptId) -> f64 {
         let own = self
-            .claims
+            .queued
             .iter()
-            .filter(|held| (held.since, held.claim) < (since, claim))
-            .map(|held| held.read_ms);
+            .filter(|queued| (queued.since, queued.id) < (since, id))
+            .map(|queued| queued.read_ms);
         let peers = self
             .peers
             .iter()
             .filter(|work| {
                 work.oldest_queued_since < since && now.since(work.received_at) <= PEER_QUEUE_TTL_MS
             })
-            .map(|work| work.claimed_ms as f64);
+            .map(|work| work.queued_ms as f64);
         own.sum::<f64>() + peers.sum::<f64>()
     }
 
     /// Returns the prefill time of all queued long prompts, this daemon's and its peers', in ms.
-    pub fn claimed_ms(&self, now: MonoMs) -> f64 {
+    pub fn queued_ms(&self, now: MonoMs) -> f64 {
         let peers = self
             .peers
             .iter()
             .filter(|w| now.since(w.received_at) <= PEER_QUEUE_TTL_MS);
-        self.own_claims().0 + peers.map(|work| work.claimed_ms as f64).sum::<f64>()
+        self.own_queued().0 + peers.map(|work| work.queued_ms as f64).sum::<f64>()
     }
 
     /// Returns the free memory, in tokens, less what prompts sent since the last report take.
@@ -239,29 +245,31 @@
 
     /// Returns the remaining prefill time of this daemon's prompts of one weight class, in ms;
     /// helping not counted.
-    pub fn own_ms(&self, now: MonoMs, weight: Weight) -> f64 {
-        self.jobs
+    pub fn own_remaining_ms(&self, now: MonoMs, weight: Weight) -> f64 {
+        self.sent
             .iter()
-            .filter(|job| job.weight == weight && !job.helps)
-            .map(|job| job.left_ms(now))
+            .filter(|prompt| prompt.weight == weight && !prompt.is_helper)
+            .map(|prompt| prompt.remaining_ms(now))
             .sum()
     }
 
     /// Returns for how long this daemon's prompts keep the target helping others, in ms.
     pub fn own_helping_ms(&self, now: MonoMs) -> f64 {
-        let helps = self.jobs.iter().filter(|job| job.helps);
-        helps.map(|job| job.left_ms(now)).fold(0.0, f64::max)
+        let helping = self.sent.iter().filter(|prompt| prompt.is_helper);
+        helping
+            .map(|prompt| prompt.remaining_ms(now))
+            .fold(0.0, f64::max)
     }
 
     /// Returns the remaining work of all daemons.
-    pub fn left(&self, now: MonoMs) -> LeftWork {
+    pub fn remaining(&self, now: MonoMs) -> RemainingWork {
         let peers = self.peers.iter();
         let (medium, long) = peers.fold((0, 0), |(medium, long), work| {
             let medium = medium + work.medium_ends_at.since(now);
             (medium, long + work.long_ends_at.since(now))
         });
-        let medium_ms = self.own_ms(now, Weight::Medium) + medium as f64;
-        let long_ms = self.own_ms(now, Weight::Long) + long as f64;
+        let medium_ms = self.own_remaining_ms(now, Weight::Medium) + medium as f64;
+        let long_ms = self.own_remaining_ms(now, Weight::Long) + long as f64;
         let helping = self
             .peers
             .iter()
@@ -274,7 +282,7 @@
         // A report gives one sum for all weight classes. With medium or long work present the light
         // part can't be told apart, so only what this daemon sent counts as light.
         let only_light = medium_ms + long_ms == 0.0;
-        LeftWork {
+        RemainingWork {
             light_ms: self.light_sent_since_report_ms + if only_light { reported_ms } else { 0.0 },
             medium_ms,
             long_ms,
@@ -283,9 +291,9 @@
     }
 }
 
-impl Job {
-    fn left_ms(&self, now: MonoMs) -> f64 {
-        let reading_ms = (now.since(self.sent) as f64 - self.wait_ms).max(0.0);
+impl SentPrompt {
+    fn remaining_ms(&self, now: MonoMs) -> f64 {
+        let reading_ms = (now.since(self.sent_at) as f64 - self.wait_ms).max(0.0);
         (self.read_ms - reading_ms).max(self.read_ms * MIN_REMAINING_FRACTION)
     }
 }
--- a/crates/core/src/fleet/members.rs
+++ b/crates/core/src/fleet/members.rs
@@ -16,11 +16,11 @@
 
 /// Result of merging a membership update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum MergeResult {
     /// Nothing changed: the update was known, or the daemon is dead for good.
-    Known,
+    Unchanged,
     /// The update was new and is to be passed on.
-    News,
+    Changed,
     /// The update suspects this daemon, which raised its version to refute it.
     Refuted,
     /// The update says that another run has replaced this daemon.
@@ -58,7 +58,7 @@
 
     /// Marks this daemon as leaving. Returns the update to announce, `None` if it was leaving
     /// already.
-    pub fn leave(&mut self) -> Option<MemberNews> {
+    pub fn start_leaving(&mut self) -> Option<MemberNews> {
         if self.own.state == MemberState::Leaving {
             return None;
         }
@@ -68,7 +68,7 @@
     }
 
     /// Records that a link opened. Returns updates for the runs that this one replaces, now dead.
-    pub fn linked(&mut self, now: MonoMs, hello: &Hello) -> Vec<MemberNews> {
+    pub fn on_link_opened(&mut self, now: MonoMs, hello: &Hello) -> Vec<MemberNews> {
         let news = MemberNews {
             incarnation: hello.incarnation,
             instance: hello.instance.clone(),
@@ -109,7 +109,7 @@
 
     /// Records that a link closed. If it was closed by a failure and not on purpose, the silence of
     /// the peer keeps being judged by the link's short timeout.
-    pub fn unlinked(&mut self, peer: Incarnation, on_purpose: bool) {
+    pub fn on_link_closed(&mut self, peer: Incarnation, on_purpose: bool) {
         if let Some(member) = self.by_incarnation.get_mut(&peer) {
             member.linked = false;
             member.judged_by_link &= !on_purpose;
@@ -117,23 +117,23 @@
     }
 
     /// Records that a frame arrived over the peer's link.
-    pub fn heard(&mut self, now: MonoMs, peer: Incarnation) {
+    pub fn on_frame(&mut self, now: MonoMs, peer: Incarnation) {
         if let Some(member) = self.by_incarnation.get_mut(&peer) {
             member.record_sign_of_life(now);
         }
     }
 
     /// Merges an update about any daemon, this one included.
-    pub fn merge(&mut self, now: MonoMs, news: &MemberNews) -> Told {
+    pub fn merge(&mut self, now: MonoMs, news: &MemberNews) -> MergeResult {
         if news.incarnation == self.own.incarnation {
             return self.merge_own(news);
         }
         match self.by_incarnation.entry(news.incarnation) {
             // Adding an unknown daemon as suspect would bring an evicted one back.
-            Entry::Vacant(_) if news.state == MemberState::Suspect => Told::Known,
+            Entry::Vacant(_) if news.state == MemberState::Suspect => MergeResult::Unchanged,
             Entry::Vacant(vacant) => {
                 vacant.insert(Member::new(now, news));
-                Told::News
+                MergeResult::Changed
             }
             Entry::Occupied(mut occupied) => {
                 let member = occupied.get_mut();
@@ -142,7 +142,7 @@
                 if is_dead
                     || (news.state != MemberState::Dead && (news.version, news.state) <= held)
                 {
-                    return Told::Known;
+                    return MergeResult::Unchanged;
                 }
                 if news.state == MemberState::Alive {
                     // Its refutation came through other daemons, so those judge it until a link to
@@ -152,24 +152,24 @@
                 }
                 member.news = news.clone();
                 member.state_since = now;
-                Told::News
+                MergeResult::Changed
             }
         }
     }
 
-    fn merge_own(&mut self, news: &MemberNews) -> Told {
+    fn merge_own(&mut self, news: &MemberNews) -> MergeResult {
         match news.state {
-            MemberState::Dead => Told::Superseded,
+            MemberState::Dead => MergeResult::Superseded,
             MemberState::Suspect if news.version >= self.own.version => {
                 self.own.version = news.version + 1;
-                Told::Refuted
+                MergeResult::Refuted
             }
-            _ => Told::Known,
+            _ => MergeResult::Unchanged,
         }
     }
 
     /// Returns whether this process was paused between the last call and this one.
-    pub fn was_paused(&mut self, now: MonoMs) -> bool {
+    pub fn detect_pause(&mut self, now: MonoMs) -> bool {
         self.local_health.tick(now)
     }
 
@@ -192,7 +192,7 @@
 
     /// Handles a pause of this process, during which it could hear nobody: all silence is counted
     /// afresh, and timeouts are longer for a while.
-    pub fn doubt_all(&mut self, now: MonoMs) {
+    pub fn on_process_resumed(&mut self, now: MonoMs) {
         self.local_health.add_penalty(now);
         for member in self.by_incarnation.values_mut() {
             member.silence_reset_at = now;
@@ -205,18 +205,18 @@
         const BEAT_UNIT_MS: u64 = 1_000;
         let own = stamp(&self.own, now.0 / BEAT_UNIT_MS);
         let others = self
-            .fresh(now)
+            .recently_seen(now)
             .map(|member| stamp(&member.news, member.highest_beat));
         std::iter::once(own).chain(others).collect()
     }
 
     /// Returns the daemons with a recent sign of life.
-    pub fn fresh(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
+    pub fn recently_seen(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
         self.iter().filter(move |member| member.is_fresh(now))
     }
 
     /// Applies a peer's stamps. Returns the updates that the peer lacks.
-    pub fn take_stamps(&mut self, now: MonoMs, stamps: &[MemberStamp]) -> Vec<MemberNews> {
+    pub fn apply_stamps(&mut self, now: MonoMs, stamps: &[MemberStamp]) -> Vec<MemberNews> {
         let by_short: HashMap<u64, &MemberStamp> =
             stamps.iter().map(|stamp| (stamp.short, stamp)).collect();
         let mut lacking = Vec::new();
--- a/crates/core/src/fleet/members/member.rs
+++ b/crates/core/src/fleet/members/member.rs
@@ -27,7 +27,7 @@
     /// Latest update about it.
     pub news: MemberNews,
     /// Time of the last sign of life, over its link or through other daemons.
-    pub heard: MonoMs,
+    pub last_seen_at: MonoMs,
     /// Silence before this time isn't counted, since this process was paused.
     pub(super) silence_reset_at: MonoMs,
     /// Whether this daemon has an open link to it.
@@ -56,7 +56,7 @@
     pub(super) fn new(now: MonoMs, news: &MemberNews) -> Self {
         Self {
             news: news.clone(),
-            heard: now,
+            last_seen_at: now,
             silence_reset_at: now,
             linked: false,
             judged_by_link: false,
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn record_sign_of_life(&mut self, now: MonoMs) {
-        self.heard = now;
+        self.last_seen_at = now;
         self.confirmed_alive_at = now;
     }
 
@@ -93,7 +93,7 @@
 
     /// Returns for how long it has been silent, in ms, not counting pauses of this process.
     pub(super) fn silent_ms(&self, now: MonoMs) -> u64 {
-        now.since(self.heard.max(self.silence_reset_at))
+        now.since(self.last_seen_at.max(self.silence_reset_at))
     }
 
     /// Applies the silence timeouts. `penalty` comes from the local health and lengthens the link's
--- a/crates/core/src/fleet/prefill_cost.rs
+++ b/crates/core/src/fleet/prefill_cost.rs
@@ -21,7 +21,7 @@
 
 /// A measured prefill, from which the cost model learns.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReadSample {
+pub struct PrefillSample {
     /// Prompt length, in tokens.
     pub tokens: u64,
     /// Number of engines that prefilled it together.
@@ -49,7 +49,7 @@
 /// Lengths are in ms at the rate that the target's record states, which makes samples of different
 /// targets comparable.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct CostSums {
+pub struct CostRegression {
     weight: f64,
     linear_2: f64,
     linear_square: f64,
@@ -58,9 +58,9 @@
     square_took: f64,
 }
 
-impl CostSums {
+impl CostRegression {
     /// Returns the prior: the stated rate, and a guess at the attention part.
-    pub fn stated() -> Self {
+    pub fn prior() -> Self {
         let mut sums = Self::default();
         sums.add(1.0, 0.0, 1.0, RECORD_WEIGHT_SAMPLES);
         let square = ATTENTION_PRIOR_MS * ATTENTION_PRIOR_MS / 2.0;
@@ -70,7 +70,7 @@
     }
 
     /// Adds a sample of a target whose record states `tokens_per_s`.
-    pub fn learn(&mut self, sample: &ReadSample, tokens_per_s: u64) {
+    pub fn add_sample(&mut self, sample: &PrefillSample, tokens_per_s: u64) {
         let linear = sample.tokens as f64 * stated_token_ms(tokens_per_s);
         let square = linear * linear / 2.0 / sample.engines as f64;
         self.decay();
--- a/crates/core/src/fleet/target_state.rs
+++ b/crates/core/src/fleet/target_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CostSums, LoadBook, PrefillCost, ReadSample},
+    super::{CostRegression, LoadTracker, PrefillCost, PrefillSample},
     crate::time::MonoMs,
     std::net::SocketAddr,
     whinlatch_wire::{
@@ -22,71 +22,72 @@
     /// Last load report of the current run.
     pub report: Option<LoadReport>,
     /// Arrival time of the last report.
-    pub reported: MonoMs,
+    pub reported_at: MonoMs,
     /// Time at which a report was last requested; `None` before the first request.
-    pub asked: Option<MonoMs>,
+    pub report_requested_at: Option<MonoMs>,
     /// Requests of this daemon that are in flight there.
     pub in_flight: u32,
     /// Consecutive report requests without an answer.
-    pub misses: u32,
+    pub missed_reports: u32,
     /// Queued and remaining work.
-    pub load: LoadBook,
+    pub load: LoadTracker,
     /// Prefill cost as learned from samples so far.
     pub cost: PrefillCost,
     stated_tokens_per_s: u64,
-    learnt: CostSums,
+    cost_samples: CostRegression,
 }
 
 impl TargetState {
     /// Creates a target of which only the record is known. `fleet` gives the cost learned on other
     /// targets.
-    pub fn new(record: &TargetRecord, fleet: &CostSums) -> Self {
+    pub fn new(record: &TargetRecord, fleet: &CostRegression) -> Self {
         let stated_tokens_per_s = record_rate(record);
-        let learnt = CostSums::default();
+        let cost_samples = CostRegression::default();
         Self {
             incarnation: None,
             address: record.address,
             health: TargetHealth::Serving,
             report: None,
-            reported: MonoMs::default(),
-            asked: None,
+            reported_at: MonoMs::default(),
+            report_requested_at: None,
             in_flight: 0,
-            misses: 0,
-            load: LoadBook::default(),
-            cost: learnt.cost(fleet, stated_tokens_per_s),
+            missed_reports: 0,
+            load: LoadTracker::default(),
+            cost: cost_samples.cost(fleet, stated_tokens_per_s),
             stated_tokens_per_s,
-            learnt,
+            cost_samples,
         }
     }
 
     /// Applies a changed record: its address and stated rate.
-    pub fn follow(&mut self, record: &TargetRecord) {
+    pub fn apply_record(&mut self, record: &TargetRecord) {
         self.address = record.address;
         self.stated_tokens_per_s = record_rate(record);
     }
 
     /// Adds a prefill sample to this target's cost and to the fleet's, which is the first estimate
     /// for targets without samples.
-    pub fn learn(&mut self, sample: &ReadSample, fleet: &mut CostSums) {
-        self.learnt.learn(sample, self.stated_tokens_per_s);
-        fleet.learn(sample, self.stated_tokens_per_s);
-        self.cost = self.learnt.cost(fleet, self.stated_tokens_per_s);
+    pub fn add_sample(&mut self, sample: &PrefillSample, fleet: &mut CostRegression) {
+        self.cost_samples
+            .add_sample(sample, self.stated_tokens_per_s);
+        fleet.add_sample(sample, self.stated_tokens_per_s);
+        self.cost = self.cost_samples.cost(fleet, self.stated_tokens_per_s);
     }
 
     /// Records which run answers at the address. A new run starts without load and with fresh
     /// health.
-    pub fn seen_as(&mut self, incarnation: Incarnation) {
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         if self.incarnation == Some(incarnation) {
             return;
         }
         self.incarnation = Some(incarnation);
         self.health = TargetHealth::Serving;
         self.report = None;
-        self.load = LoadBook::default();
+        self.load = LoadTracker::default();
     }
 
     /// Worsens the health of the run `incarnation`; never improves it. Returns whether it changed.
-    pub fn worsen(&mut self, incarnation: Incarnation, health: TargetHealth) -> bool {
+    pub fn worsen_health(&mut self, incarnation: Incarnation, health: TargetHealth) -> bool {
         if self.incarnation != Some(incarnation) || self.health >= health {
             return false;
         }
@@ -95,7 +96,7 @@
     }
 
     /// Returns whether new requests may be sent: its run is known and serving.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.incarnation.is_some() && self.health == TargetHealth::Serving
     }
 }
--- a/crates/core/src/fleet/targets.rs
+++ b/crates/core/src/fleet/targets.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CostSums, ReadSample, TargetState},
+    super::{CostRegression, PrefillSample, TargetState},
     crate::{records::InForce, time::MonoMs},
     std::{collections::HashMap, net::SocketAddr},
     whinlatch_wire::{
@@ -19,7 +19,7 @@
     states: Vec<(TargetName, TargetState)>,
     index_by_name: HashMap<TargetName, usize>,
     epoch: u64,
-    fleet_cost: CostSums,
+    fleet_cost: CostRegression,
 }
 
 impl Default for Targets {
@@ -28,7 +28,7 @@
             states: Vec::new(),
             index_by_name: HashMap::new(),
             epoch: 0,
-            fleet_cost: CostSums::stated(),
+            fleet_cost: CostRegression::prior(),
         }
     }
 }
@@ -36,14 +36,14 @@
 impl Targets {
     /// Applies the records in force: adds targets that they name and drops the others. Indices
     /// change.
-    pub fn follow(&mut self, in_force: &InForce) {
+    pub fn apply_records(&mut self, in_force: &InForce) {
         let mut previous: HashMap<TargetName, TargetState> = self.states.drain(..).collect();
         self.states = in_force
             .targets()
             .map(|record| {
                 let state = previous.remove(&record.target);
                 let mut state = state.unwrap_or_else(|| TargetState::new(record, &self.fleet_cost));
-                state.follow(record);
+                state.apply_record(record);
                 (record.target.clone(), state)
             })
             .collect();
@@ -58,7 +58,7 @@
     }
 
     /// Returns the index of a target, valid until [`Self::epoch`] changes.
-    pub fn place(&self, target: &TargetName) -> Option<usize> {
+    pub fn index_of(&self, target: &TargetName) -> Option<usize> {
         self.index_by_name.get(target).copied()
     }
 
@@ -73,49 +73,52 @@
     }
 
     /// Adds a prefill sample of a target; ignored if no record names it.
-    pub fn learn(&mut self, target: &TargetName, sample: &ReadSample) {
+    pub fn add_sample(&mut self, target: &TargetName, sample: &PrefillSample) {
         if let Some(index) = self.index_by_name.get(target) {
-            self.states[*index].1.learn(sample, &mut self.fleet_cost);
+            self.states[*index]
+                .1
+                .add_sample(sample, &mut self.fleet_cost);
         }
     }
 
     /// Applies an entry of the platform's list. Returns whether the target was found to be leaving
     /// by it.
-    pub fn listed(&mut self, listed: &ListedTarget) -> bool {
+    pub fn apply_list_entry(&mut self, listed: &ListedTarget) -> bool {
         let Some(state) = self.get_mut(&listed.target) else {
             return false;
         };
         if state.incarnation.is_none() {
-            state.seen_as(listed.incarnation);
+            state.set_incarnation(listed.incarnation);
         }
         match listed.state {
             ListedState::Live => false,
-            ListedState::Leaving => state.worsen(listed.incarnation, TargetHealth::Leaving),
+            ListedState::Leaving => state.worsen_health(listed.incarnation, TargetHealth::Leaving),
         }
     }
 
     /// Applies a load report. Returns whether the target was found to be leaving by it.
-    pub fn reported(&mut self, now: MonoMs, target: &TargetName, report: LoadReport) -> bool {
+    pub fn apply_report(&mut self, now: MonoMs, target: &TargetName, report: LoadReport) -> bool {
         let Some(state) = self.get_mut(target) else {
             return false;
         };
-        state.seen_as(report.incarnation);
-        state.misses = 0;
-        state.reported = now;
-        let is_leaving = report.leaving && state.worsen(report.incarnation, TargetHealth::Leaving);
-        state.load.reported(now, &report, state.cost.token_ms);
+        state.set_incarnation(report.incarnation);
+        state.missed_reports = 0;
+        state.reported_at = now;
+        let is_leaving =
+            report.leaving && state.worsen_health(report.incarnation, TargetHealth::Leaving);
+        state.load.apply_report(now, &report, state.cost.token_ms);
         state.report = Some(report);
         is_leaving
     }
 
     /// Counts a report request without an answer. Returns whether the target is now considered
     /// gone.
-    pub fn missed(&mut self, target: &TargetName) -> bool {
+    pub fn record_missed_report(&mut self, target: &TargetName) -> bool {
         let Some(state) = self.get_mut(target) else {
             return false;
         };
-        state.misses += 1;
-        if state.misses < MISSED_REPORTS_UNTIL_GONE {
+        state.missed_reports += 1;
+        if state.missed_reports < MISSED_REPORTS_UNTIL_GONE {
             return false;
         }
         // The run is cleared instead of marked dead: it may answer again after a partition.
@@ -123,14 +126,14 @@
     }
 
     /// Worsens the health of a run. Returns whether it changed.
-    pub fn worsen(
+    pub fn worsen_health(
         &mut self,
         target: &TargetName,
         incarnation: Incarnation,
         health: TargetHealth,
     ) -> bool {
         self.get_mut(target)
-            .is_some_and(|state| state.worsen(incarnation, health))
+            .is_some_and(|state| state.worsen_health(incarnation, health))
     }
 
     /// Returns the targets whose next report is due, with their addresses, and records the request.
@@ -140,11 +143,11 @@
             .iter_mut()
             .filter(|(_, state)| {
                 state
-                    .asked
+                    .report_requested_at
                     .is_none_or(|requested_at| now.since(requested_at) >= every_ms)
             })
             .map(|(name, state)| {
-                state.asked = Some(now);
+                state.report_requested_at = Some(now);
                 (name.clone(), state.address)
             })
             .collect()
@@ -152,12 +155,12 @@
 
     /// Returns a target by name; `None` if no record names it.
     pub fn get(&self, target: &TargetName) -> Option<&TargetState> {
-        self.place(target).map(|index| self.at(index))
+        self.index_of(target).map(|index| self.at(index))
     }
 
     /// Returns a target by name, to record prompts sent and ended.
     pub fn get_mut(&mut self, target: &TargetName) -> Option<&mut TargetState> {
-        let index = self.place(target)?;
+        let index = self.index_of(target)?;
         Some(&mut self.states[index].1)
     }
 
--- a/crates/core/src/fleet/watchers.rs
+++ b/crates/core/src/fleet/watchers.rs
@@ -18,16 +18,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Watchers {
     /// Whether this daemon is a watcher.
-    pub own: bool,
+    pub includes_self: bool,
     /// Number of watchers in the fleet.
-    pub count: usize,
+    pub watcher_count: usize,
     /// Number of daemons in the fleet that are considered alive.
-    pub daemons: usize,
+    pub daemon_count: usize,
 }
 
 impl Watchers {
     /// Elects the watchers among the daemons that are alive; `alive` includes this daemon.
-    pub fn among<'a>(
+    pub fn elect<'a>(
         own: Incarnation,
         alive: impl Iterator<Item = (&'a FailureDomain, Incarnation)>,
     ) -> Self {
@@ -37,18 +37,18 @@
             ranks.entry(domain).or_default().push((rank, incarnation));
         }
         let mut watchers = Self {
-            own: false,
-            count: 0,
-            daemons: 0,
+            includes_self: false,
+            watcher_count: 0,
+            daemon_count: 0,
         };
         for mut domain in ranks.into_values() {
-            watchers.daemons += domain.len();
+            watchers.daemon_count += domain.len();
             if domain.len() > MAX_ALL_WATCH_DAEMONS {
                 domain.sort_unstable();
                 domain.truncate(WATCHERS_PER_DOMAIN);
             }
-            watchers.count += domain.len();
-            watchers.own |= domain.iter().any(|(_, incarnation)| *incarnation == own);
+            watchers.watcher_count += domain.len();
+            watchers.includes_self |= domain.iter().any(|(_, incarnation)| *incarnation == own);
         }
         watchers
     }
@@ -57,11 +57,15 @@
     /// second. Where some daemons don't watch, the watchers share one half and the others the other
     /// half.
     pub fn share(&self, reads_per_s: f64) -> f64 {
-        let others = self.daemons - self.count;
+        let others = self.daemon_count - self.watcher_count;
         if others == 0 {
-            return reads_per_s / self.count.max(1) as f64;
+            return reads_per_s / self.watcher_count.max(1) as f64;
         }
-        let sharers = if self.own { self.count } else { others };
+        let sharers = if self.includes_self {
+            self.watcher_count
+        } else {
+            others
+        };
         reads_per_s / 2.0 / sharers as f64
     }
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -7,8 +7,8 @@
 mod ring;
 
 pub use {
-    links::{HEARTBEAT_MS, Links},
+    links::{HEARTBEAT_INTERVAL_MS, Links},
     news_queue::NewsQueue,
     record_pulls::RecordPulls,
-    ring::{FULL_MESH, Place, Ring},
+    ring::{MAX_FULL_MESH_DAEMONS, Ring, RingNode},
 };
--- a/crates/core/src/peers/links.rs
+++ b/crates/core/src/peers/links.rs
@@ -12,11 +12,11 @@
 };
 
 /// Time between heartbeats on a link, in ms.
-pub const HEARTBEAT_MS: u64 = 500;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 500;
 /// Silence after which a link is closed and opened again, in ms: three heartbeats. A middlebox may
 /// lose track of a connection, which then stays silent for good while a new one works; so the link
 /// is renewed before its peer is suspected.
-const LINK_SILENCE_TIMEOUT_MS: u64 = 3 * HEARTBEAT_MS;
+const LINK_SILENCE_TIMEOUT_MS: u64 = 3 * HEARTBEAT_INTERVAL_MS;
 /// Time between attempts to open a link to one address, in ms.
 const OPEN_RETRY_MS: u64 = 1_000;
 /// Time for which the side with the higher address waits for the other to open the link, in ms.
@@ -46,34 +46,34 @@
 impl Links {
     /// Records that a link opened. A second link to the same peer replaces the first on both sides:
     /// the first may be one that a middlebox lost track of.
-    pub fn opened(&mut self, now: MonoMs, peer: Incarnation, address: SocketAddr) {
+    pub fn on_opened(&mut self, now: MonoMs, peer: Incarnation, address: SocketAddr) {
         self.open.insert(peer, Link::new(now, address));
         self.missing.remove(&address);
     }
 
     /// Records that a link closed, or failed to open.
-    pub fn closed(&mut self, peer: Option<Incarnation>) {
+    pub fn on_closed(&mut self, peer: Option<Incarnation>) {
         if let Some(peer) = peer {
             self.open.remove(&peer);
         }
     }
 
     /// Records that a frame arrived over a link.
-    pub fn heard(&mut self, now: MonoMs, peer: Incarnation) {
+    pub fn on_frame(&mut self, now: MonoMs, peer: Incarnation) {
         if let Some(link) = self.open.get_mut(&peer) {
             link.last_received_at = now;
         }
     }
 
     /// Restarts the silence timeout of all links, after this process was paused.
-    pub fn doubt_all(&mut self, now: MonoMs) {
+    pub fn reset_silence(&mut self, now: MonoMs) {
         for link in self.open.values_mut() {
             link.last_received_at = now;
         }
     }
 
     /// Returns the peers whose links fell silent and are to be renewed.
-    pub fn silent(&self, now: MonoMs) -> Vec<Incarnation> {
+    pub fn silent_peers(&self, now: MonoMs) -> Vec<Incarnation> {
         self.open
             .iter()
             .filter(|(_, link)| now.since(link.last_received_at) > LINK_SILENCE_TIMEOUT_MS)
@@ -82,7 +82,7 @@
     }
 
     /// Returns the peers whose links have been outside the topology for longer than the grace time.
-    pub fn surplus(&mut self, now: MonoMs, wanted: &BTreeSet<SocketAddr>) -> Vec<Incarnation> {
+    pub fn excess_links(&mut self, now: MonoMs, wanted: &BTreeSet<SocketAddr>) -> Vec<Incarnation> {
         let mut excess = Vec::new();
         for (peer, link) in &mut self.open {
             if wanted.contains(&link.address) {
@@ -98,7 +98,7 @@
     }
 
     /// Returns the peer that gets the stamps of all daemons alive now; `None` if they aren't due.
-    pub fn stamps_to(&mut self, now: MonoMs) -> Option<Incarnation> {
+    pub fn next_stamps_recipient(&mut self, now: MonoMs) -> Option<Incarnation> {
         if now.since(self.stamps_sent_at) < STAMPS_INTERVAL_MS {
             return None;
         }
@@ -115,7 +115,7 @@
     /// Of two daemons the one with the lower address opens the link, so that there is only one. The
     /// other one does so after a delay: the first may not know it or be unable to reach it, and the
     /// two would stay unlinked for good.
-    pub fn to_open(
+    pub fn addresses_to_open(
         &mut self,
         now: MonoMs,
         own: SocketAddr,
@@ -149,7 +149,7 @@
     }
 
     /// Makes a link to this address due immediately, after the old one fell silent. Both sides try.
-    pub fn open_at_once(&mut self, now: MonoMs, address: SocketAddr) {
+    pub fn retry_immediately(&mut self, now: MonoMs, address: SocketAddr) {
         let missing = MissingLink {
             since: MonoMs(now.0.saturating_sub(PASSIVE_OPEN_DELAY_MS)),
             last_tried_at: None,
@@ -158,7 +158,7 @@
     }
 
     /// Queues news for all links except the one it came from.
-    pub fn spread(&mut self, news: &News, except: Option<Incarnation>) {
+    pub fn broadcast(&mut self, news: &News, except: Option<Incarnation>) {
         let links = self
             .open
             .iter_mut()
@@ -169,7 +169,7 @@
     }
 
     /// Queues news for one link.
-    pub fn tell(&mut self, peer: Incarnation, news: &News) {
+    pub fn enqueue(&mut self, peer: Incarnation, news: &News) {
         if let Some(link) = self.open.get_mut(&peer) {
             link.news.put(news);
         }
@@ -178,7 +178,11 @@
     /// Returns the frames to send now: due heartbeats with the queued news. News of members, of
     /// leaving targets and of requests that crash targets isn't held until the heartbeat, since it
     /// has several hops to make within seconds.
-    pub fn beats(&mut self, now: MonoMs, records: &RecordSummary) -> Vec<(Incarnation, PeerFrame)> {
+    pub fn due_frames(
+        &mut self,
+        now: MonoMs,
+        records: &RecordSummary,
+    ) -> Vec<(Incarnation, PeerFrame)> {
         self.open
             .iter_mut()
             .filter(|(_, link)| link.next_beat_at <= now || link.news.is_urgent())
@@ -189,7 +193,7 @@
                 };
                 if link.next_beat_at <= now {
                     link.beats_sent += 1;
-                    link.next_beat_at = now + HEARTBEAT_MS;
+                    link.next_beat_at = now + HEARTBEAT_INTERVAL_MS;
                     frame.heartbeat = Some(Heartbeat {
                         number: link.beats_sent,
                         records: records.clone(),
@@ -201,7 +205,7 @@
     }
 
     /// Stores a peer's summary of its records.
-    pub fn holds(&mut self, peer: Incarnation, summary: &RecordSummary) {
+    pub fn set_summary(&mut self, peer: Incarnation, summary: &RecordSummary) {
         if let Some(link) = self.open.get_mut(&peer) {
             link.summary = summary.clone();
         }
@@ -223,7 +227,7 @@
     }
 
     /// Stores the bucket digests of a peer.
-    pub fn holds_buckets(&mut self, peer: Incarnation, digests: &[u64]) {
+    pub fn set_buckets(&mut self, peer: Incarnation, digests: &[u64]) {
         if let Some(link) = self.open.get_mut(&peer) {
             link.buckets = digests.to_vec();
         }
@@ -237,7 +241,7 @@
 
     /// Returns the peers known to hold the same records in a bucket: their summary equals this
     /// daemon's, or the bucket's digest did in their last pull.
-    pub fn in_agreement(
+    pub fn peers_in_agreement(
         &self,
         records: &RecordStore,
         bucket: usize,
--- a/crates/core/src/peers/record_pulls.rs
+++ b/crates/core/src/peers/record_pulls.rs
@@ -36,7 +36,7 @@
 impl RecordPulls {
     /// Starts a pull if the peer may have other records and no pull is running. Returns whether it
     /// started.
-    pub fn begin(
+    pub fn try_begin(
         &mut self,
         now: MonoMs,
         peer: Incarnation,
@@ -75,7 +75,7 @@
 
     /// Stores the keys that a listing showed to be wanted. Returns those to request first; none if
     /// nothing is wanted or no pull from this peer is running.
-    pub fn listed(&mut self, now: MonoMs, peer: Incarnation, wanted: Vec<u64>) -> Vec<u64> {
+    pub fn on_listing(&mut self, now: MonoMs, peer: Incarnation, wanted: Vec<u64>) -> Vec<u64> {
         let Some(pull) = self.pull_from(peer) else {
             return Vec::new();
         };
@@ -84,7 +84,7 @@
     }
 
     /// Records that revisions of a key arrived from the peer.
-    pub fn got(&mut self, now: MonoMs, peer: Incarnation, key_hash: u64) {
+    pub fn on_record(&mut self, now: MonoMs, peer: Incarnation, key_hash: u64) {
         if let Some(pull) = self.pull_from(peer) {
             pull.wanted.remove(&key_hash);
             pull.progressed_at = now;
@@ -93,7 +93,7 @@
 
     /// Handles the end of a response. Returns the keys to request next; none if the pull is
     /// complete or no pull from this peer is running.
-    pub fn answered(&mut self, now: MonoMs, peer: Incarnation) -> Vec<u64> {
+    pub fn on_response_end(&mut self, now: MonoMs, peer: Incarnation) -> Vec<u64> {
         let Some(pull) = self.pull_from(peer) else {
             return Vec::new();
         };
@@ -107,7 +107,7 @@
     }
 
     /// Ends the pull from a peer and stores what both sides hold now.
-    pub fn settle(&mut self, peer: Incarnation, own: RecordSummary, theirs: RecordSummary) {
+    pub fn finish(&mut self, peer: Incarnation, own: RecordSummary, theirs: RecordSummary) {
         if self.pull_from(peer).is_none() {
             return;
         }
@@ -116,7 +116,7 @@
     }
 
     /// Drops the state of a peer whose link closed.
-    pub fn closed(&mut self, peer: Incarnation) {
+    pub fn on_link_closed(&mut self, peer: Incarnation) {
         self.outcomes.remove(&peer);
         if self.pull_from(peer).is_some() {
             self.current = None;
--- a/crates/core/src/peers/ring.rs
+++ b/crates/core/src/peers/ring.rs
@@ -5,14 +5,14 @@
 };
 
 /// Largest fleet in which each daemon links to every other.
-pub const FULL_MESH: usize = 10;
+pub const MAX_FULL_MESH_DAEMONS: usize = 10;
 /// Links that each daemon picks by rendezvous hashing in a larger fleet: one in each other failure
 /// domain, and the rest, at least one, in its own.
 const RENDEZVOUS_PICKS: usize = 4;
 
 /// A daemon on the ring: its peer address and failure domain.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct RingNode {
     /// Hash of the address, which orders the ring.
     hash: u64,
     /// Address at which peers link to it.
@@ -21,7 +21,7 @@
     pub domain: FailureDomain,
 }
 
-impl Place {
+impl RingNode {
     /// Creates the ring entry of a daemon.
     pub fn new(address: SocketAddr, domain: &FailureDomain) -> Self {
         Self {
@@ -44,41 +44,41 @@
 /// doesn't grow with the fleet, and a daemon that joins or leaves changes only its own links.
 #[derive(Debug, Default)]
 pub struct Ring {
-    places: BTreeSet<Place>,
+    nodes: BTreeSet<RingNode>,
     domains: BTreeSet<FailureDomain>,
 }
 
 impl Ring {
     /// Creates a ring of these daemons.
-    pub fn new(places: impl IntoIterator<Item = Place>) -> Self {
-        let places: BTreeSet<Place> = places.into_iter().collect();
-        let domains = places.iter().map(|place| place.domain.clone()).collect();
-        Self { places, domains }
+    pub fn new(nodes: impl IntoIterator<Item = RingNode>) -> Self {
+        let nodes: BTreeSet<RingNode> = nodes.into_iter().collect();
+        let domains = nodes.iter().map(|node| node.domain.clone()).collect();
+        Self { nodes, domains }
     }
 
     /// Returns the number of daemons on the ring.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.nodes.len()
     }
 
     /// Returns whether the ring has no daemons.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.nodes.is_empty()
     }
 
     /// Returns the addresses of the daemons to which `own` links.
-    pub fn neighbours(&self, own: &Place) -> BTreeSet<SocketAddr> {
+    pub fn neighbours(&self, own: &RingNode) -> BTreeSet<SocketAddr> {
         let others = || {
-            let after = self.places.range(own..);
-            let before = self.places.range(..own);
-            after.chain(before).filter(|place| *place != own)
+            let after = self.nodes.range(own..);
+            let before = self.nodes.range(..own);
+            after.chain(before).filter(|node| *node != own)
         };
-        if self.places.len() <= FULL_MESH {
-            return others().map(|place| place.address).collect();
+        if self.nodes.len() <= MAX_FULL_MESH_DAEMONS {
+            return others().map(|node| node.address).collect();
         }
-        let next = others().find(|place| place.domain == own.domain);
+        let next = others().find(|node| node.domain == own.domain);
         let mut neighbours: BTreeSet<SocketAddr> =
-            next.map(|place| place.address).into_iter().collect();
+            next.map(|node| node.address).into_iter().collect();
         let own_domain_picks = RENDEZVOUS_PICKS
             .saturating_sub(self.domains.len() - 1)
             .max(1);
@@ -89,8 +89,8 @@
                 1
             };
             let mut picks: Vec<(u64, SocketAddr)> = others()
-                .filter(|place| place.domain == *domain)
-                .map(|place| (own.weight_of(place), place.address))
+                .filter(|node| node.domain == *domain)
+                .map(|node| (own.weight_of(node), node.address))
                 .collect();
             picks.sort_unstable_by(|one, other| other.cmp(one));
             neighbours.extend(picks.iter().take(count).map(|(_, address)| *address));
@@ -99,12 +99,12 @@
     }
 
     /// Returns the addresses of the daemons that `own` links to and of those that link to it.
-    pub fn linked_with(&self, own: &Place) -> BTreeSet<SocketAddr> {
+    pub fn linked_with(&self, own: &RingNode) -> BTreeSet<SocketAddr> {
         let mut linked = self.neighbours(own);
-        let others = self.places.iter().filter(|place| *place != own);
-        for place in others {
-            if self.neighbours(place).contains(&own.address) {
-                linked.insert(place.address);
+        let others = self.nodes.iter().filter(|node| *node != own);
+        for node in others {
+            if self.neighbours(node).contains(&own.address) {
+                linked.insert(node.address);
             }
         }
         linked
--- a/crates/core/src/placement/choose_group.rs
+++ b/crates/core/src/placement/choose_group.rs
@@ -138,10 +138,10 @@
 ) -> Engine<'a> {
     let state = scene.targets.at(candidate.place);
     let target = scene.targets.name_at(candidate.place);
-    let left = state.load.left(scene.now);
+    let left = state.load.remaining(scene.now);
     let claimed_ms = state
         .load
-        .claimed_before_ms(scene.now, waiter.since, waiter.claim);
+        .queued_ahead_ms(scene.now, waiter.since, waiter.claim);
     let before_ms = left.long_ms + claimed_ms;
     let read_ms = state.cost.read_ms(0, ask.prompt_tokens(), 1);
     // Beside its help for others an engine reads at half its speed, until either is done.
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -12,10 +12,10 @@
 mod record_store;
 
 pub use {
-    buckets::{BUCKETS, Buckets},
+    buckets::{BUCKET_COUNT, BucketDigests},
     full_read::FullRead,
     in_force::InForce,
     platform_reader::{PlatformRead, PlatformReader, ReaderRole},
-    record_store::{Absent, Merge, RecordStore},
+    record_store::{Merge, MissingRecords, RecordStore},
 };
-pub(crate) use {exchange::size, held_record::key_hash};
+pub(crate) use {exchange::frame_bytes, held_record::key_hash};
--- a/crates/core/src/records/buckets.rs
+++ b/crates/core/src/records/buckets.rs
@@ -1,27 +1,27 @@
 use {super::held_record::key_hash, whinlatch_wire::ids::RecordKey};
 
 /// Number of buckets into which records are divided by the hash of their key.
-pub const BUCKETS: usize = 1_024;
+pub const BUCKET_COUNT: usize = 1_024;
 
 /// One digest per bucket of records: the exclusive or of the hashes of all revisions held in it.
 /// Two daemons that compare digests find the few buckets that differ without listing each record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Buckets {
+pub struct BucketDigests {
     digests: Vec<u64>,
 }
 
-impl Default for Buckets {
+impl Default for BucketDigests {
     fn default() -> Self {
         Self {
-            digests: vec![0; BUCKETS],
+            digests: vec![0; BUCKET_COUNT],
         }
     }
 }
 
-impl Buckets {
+impl BucketDigests {
     /// Returns the bucket of a key, from the top bits of its hash.
     pub fn of(key: &RecordKey) -> usize {
-        let top_bits = key_hash(key) >> (u64::BITS - BUCKETS.ilog2());
+        let top_bits = key_hash(key) >> (u64::BITS - BUCKET_COUNT.ilog2());
         top_bits as usize
     }
 
--- a/crates/core/src/records/exchange.rs
+++ b/crates/core/src/records/exchange.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Buckets, RecordStore,
+        BucketDigests, RecordStore,
         held_record::{HeldRecord, key_hash, value_hash},
     },
     std::collections::{HashMap, HashSet},
@@ -15,7 +15,7 @@
 
 impl RecordStore {
     /// Returns the digests of the buckets.
-    pub fn buckets(&self) -> &Buckets {
+    pub fn buckets(&self) -> &BucketDigests {
         &self.buckets
     }
 
@@ -24,7 +24,7 @@
     pub fn listing(&self, theirs: &[u64]) -> Vec<RecordStamp> {
         self.held
             .iter()
-            .filter(|(key, _)| !self.buckets.agrees(Buckets::of(key), theirs))
+            .filter(|(key, _)| !self.buckets.agrees(BucketDigests::of(key), theirs))
             .flat_map(|(key, held)| stamps(key, held))
             .take(MAX_STAMPS)
             .collect()
@@ -32,7 +32,7 @@
 
     /// Returns the hashes of the keys for which a peer's stamps show a revision that may change
     /// what is held here, in ascending order.
-    pub fn wanted(&self, stamps: &[RecordStamp]) -> Vec<u64> {
+    pub fn wanted_keys(&self, stamps: &[RecordStamp]) -> Vec<u64> {
         let held_by_hash: HashMap<u64, &HeldRecord> = self
             .held
             .iter()
@@ -54,7 +54,7 @@
 
     /// Returns all revisions held of the keys with these hashes, until `max_bytes` are reached. The
     /// first key is returned whatever its size, so that a pull always makes progress.
-    pub fn of_keys(&self, key_hashes: &[u64], max_bytes: usize) -> Vec<RecordEnvelope> {
+    pub fn envelopes_of(&self, key_hashes: &[u64], max_bytes: usize) -> Vec<RecordEnvelope> {
         let requested: HashSet<u64> = key_hashes.iter().copied().collect();
         let mut bytes = 0;
         self.held
@@ -62,7 +62,7 @@
             .filter(|(key, _)| requested.contains(&key_hash(key)))
             .take_while(|(_, held)| {
                 let is_first = bytes == 0;
-                bytes += held.envelopes().map(size).sum::<usize>();
+                bytes += held.envelopes().map(frame_bytes).sum::<usize>();
                 is_first || bytes <= max_bytes
             })
             .flat_map(|(_, held)| held.envelopes().cloned())
@@ -70,8 +70,8 @@
     }
 }
 
-/// Returns the bytes that a record takes in a frame, about.
-pub(crate) fn size(envelope: &RecordEnvelope) -> usize {
+/// Returns the approximate size of a record in a frame, in bytes.
+pub(crate) fn frame_bytes(envelope: &RecordEnvelope) -> usize {
     /// Field names, revision and lengths.
     const FRAMING_BYTES: usize = 40;
     let value = envelope.value.as_deref().map_or(0, str::len);
--- a/crates/core/src/records/platform_reader.rs
+++ b/crates/core/src/records/platform_reader.rs
@@ -70,7 +70,7 @@
     /// Reads started so far.
     pub reads: u64,
     /// Time of the last answer; `None` before the first.
-    pub answered: Option<MonoMs>,
+    pub last_answered_at: Option<MonoMs>,
     /// Whether the last finished read was answered; false before the first.
     pub reachable: bool,
 }
@@ -116,13 +116,18 @@
             unreachable_since: None,
             role: ReaderRole::Watcher,
             reads: 0,
-            answered: None,
+            last_answered_at: None,
             reachable: false,
         }
     }
 
     /// Returns the reads to start now, within this daemon's share of the budget.
-    pub fn due(&mut self, now: MonoMs, role: ReaderRole, reads_per_s: f64) -> Vec<PlatformRead> {
+    pub fn due_reads(
+        &mut self,
+        now: MonoMs,
+        role: ReaderRole,
+        reads_per_s: f64,
+    ) -> Vec<PlatformRead> {
         if self.role != role && role == ReaderRole::Watcher {
             // This daemon was elected, perhaps since a watcher died: start reading without delay.
             self.records.bring_forward(now);
@@ -207,9 +212,9 @@
         self.absence_trusted && full.reason() == FullReason::HistoryLost
     }
 
-    /// Requests a full read that finds deletions; it starts once the minimum interval between full
-    /// reads allows.
-    pub fn read_all_again(&mut self) {
+    /// Requests a full read that finds deletions by absence; it starts once the minimum interval
+    /// between full reads allows.
+    pub fn request_deletion_scan(&mut self) {
         self.request_full_read(FullReason::HistoryLost);
     }
 
@@ -237,7 +242,7 @@
     }
 
     /// Records that a read of the records failed; a full read starts over.
-    pub fn records_failed(&mut self, now: MonoMs, rng: &mut fastrand::Rng) {
+    pub fn on_records_failed(&mut self, now: MonoMs, rng: &mut fastrand::Rng) {
         if let Some(full) = self.full_read.take() {
             self.request_full_read(full.reason());
             self.full_read_started_at = None;
@@ -246,7 +251,7 @@
     }
 
     /// Records that a read of the list failed.
-    pub fn list_failed(&mut self, now: MonoMs, rng: &mut fastrand::Rng) {
+    pub fn on_list_failed(&mut self, now: MonoMs, rng: &mut fastrand::Rng) {
         self.list = ReadSchedule::Due(now + self.on_failure(now, rng));
     }
 
@@ -256,7 +261,7 @@
             self.request_full_read(FullReason::PossibleRollback);
         }
         self.consecutive_failures = 0;
-        self.answered = Some(now);
+        self.last_answered_at = Some(now);
         self.reachable = true;
     }
 
--- a/crates/core/src/records/record_store.rs
+++ b/crates/core/src/records/record_store.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        Buckets, FullRead, InForce,
+        BucketDigests, FullRead, InForce,
         held_record::{HeldRecord, envelope_hash, rank},
     },
     std::collections::BTreeMap,
@@ -25,7 +25,7 @@
 
 /// Held records that a full read of the platform doesn't contain.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Absent {
+pub enum MissingRecords {
     /// The read contains all records held.
     None,
     /// Some are missing, but the platform's revision was behind the newest held, which proves
@@ -47,7 +47,7 @@
     pub(super) held: BTreeMap<RecordKey, HeldRecord>,
     newest: Revision,
     count: u64,
-    pub(super) buckets: Buckets,
+    pub(super) buckets: BucketDigests,
     in_force: InForce,
 }
 
@@ -138,7 +138,7 @@
     /// revision of the record it ends and wins over it; anything published later wins over both. If
     /// the platform's revision is behind the newest one held, the platform is stale or a peer sent
     /// a newer record during the read, and absence proves nothing.
-    pub fn absent_from(&self, read: &FullRead) -> Absent {
+    pub fn find_missing(&self, read: &FullRead) -> MissingRecords {
         let missing: Vec<&RecordEnvelope> = self
             .held
             .values()
@@ -146,17 +146,17 @@
             .filter(|newest| newest.value.is_some() && !read.contains(&newest.key))
             .collect();
         if missing.is_empty() {
-            return Absent::None;
+            return MissingRecords::None;
         }
         if read.as_of() < self.newest {
-            return Absent::Stale;
+            return MissingRecords::Stale;
         }
         let tombstones = missing.into_iter().map(|newest| RecordEnvelope {
             key: newest.key.clone(),
             revision: newest.revision,
             value: None,
         });
-        Absent::Deleted(tombstones.collect())
+        MissingRecords::Deleted(tombstones.collect())
     }
 
     /// Returns the records in force.
@@ -198,7 +198,7 @@
                 revision: held.newest.revision,
                 in_force: held.in_force(),
                 state: held.state(),
-                instances: instances_holding(Buckets::of(key)),
+                instances: instances_holding(BucketDigests::of(key)),
             })
             .collect()
     }
--- a/crates/core/src/requests/refresh.rs
+++ b/crates/core/src/requests/refresh.rs
@@ -41,18 +41,20 @@
     pub fn unheard(self, targets: &Targets) -> Vec<TargetName> {
         targets
             .iter()
-            .filter(|(_, state)| state.reported < self.since)
+            .filter(|(_, state)| state.reported_at < self.since)
             .map(|(target, _)| target.clone())
             .collect()
     }
 
     fn heard_from(self, state: &TargetState) -> bool {
-        let asked = state.asked.is_some_and(|asked| asked >= self.since);
-        asked && (state.reported >= self.since || state.misses > 0)
+        let asked = state
+            .report_requested_at
+            .is_some_and(|asked| asked >= self.since);
+        asked && (state.reported_at >= self.since || state.missed_reports > 0)
     }
 
     fn heard_a_peer(self, members: &Members) -> bool {
         let mut linked = members.iter().filter(|member| member.linked).peekable();
-        linked.peek().is_none() || linked.any(|member| member.heard >= self.since)
+        linked.peek().is_none() || linked.any(|member| member.last_seen_at >= self.since)
     }
 }
--- a/crates/core/src/routing/candidates.rs
+++ b/crates/core/src/routing/candidates.rs
@@ -84,7 +84,7 @@
         .filter(|record| record.provider == share.provider && serves(record, share, work))
         .filter_map(|record| {
             Some(Candidate {
-                place: targets.place(&record.target)?,
+                place: targets.index_of(&record.target)?,
                 memory_tokens: memory_of(record).unwrap_or(u64::MAX),
                 rank: xxh3_64(record.target.as_str().as_bytes()),
             })
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -117,7 +117,7 @@
                 .of(scene.in_force, scene.targets, ask.work, share);
             let usable: Vec<Candidate> = list
                 .iter()
-                .filter(|candidate| scene.targets.at(candidate.place).takes_work())
+                .filter(|candidate| scene.targets.at(candidate.place).accepts_work())
                 .copied()
                 .collect();
             let kept_free = self.kept_free(scene, share, usable.len());
@@ -167,7 +167,7 @@
         let tokens = tokens_of(ask.work);
         for candidate in list {
             let state = scene.targets.at(candidate.place);
-            if !state.takes_work() {
+            if !state.accepts_work() {
                 continue;
             }
             if candidate.memory_tokens < tokens {
@@ -222,12 +222,12 @@
 /// Predicted time until a prompt's turn comes, in ms: after those that are as urgent or more, and
 /// after the step under way of one that is less. Where there is no memory for it, it waits for all.
 fn wait_ms(now: MonoMs, state: &TargetState, ask: &Ask<'_>) -> f64 {
-    let left = state.load.left(now);
+    let left = state.load.remaining(now);
     let running_ms = f64::from(state.load.running()) * RUNNING_MS;
     let parts = [
         (Weight::Light, left.light_ms),
         (Weight::Medium, left.medium_ms),
-        (Weight::Long, left.long_ms + state.load.claimed_ms(now)),
+        (Weight::Long, left.long_ms + state.load.queued_ms(now)),
     ];
     let own = ask.priorities.at(ask.weight);
     let waits_for = |weight: Weight| {
