--- a/crates/core/src/fleet/load_tracker.rs
+++ b/crates/core/src/fleet/load_tracker.rs
@@ -25,7 +25,7 @@
     pub attempt: AttemptId,
     /// Time at which it was sent.
     pub sent_at: MonoMs,
-    /// Predicted time in the target's queue, in ms from `sent`.
+    /// Predicted time in the target's queue, in ms from `sent_at`.
     pub wait_ms: f64,
     /// Length of the prompt, in tokens.
     pub tokens: u64,
@@ -52,7 +52,7 @@
 /// ms.
 const PEER_QUEUE_TTL_MS: u64 = 5_000;
 
-/// A long prompt of this daemon that is queued for a target and not sent yet; peers are told of it.
+/// A long prompt of this daemon that is queued for a target and not sent yet; it is announced to peers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueuedPrompt {
     /// Identifies the queued prompt.
--- a/crates/core/src/peers/record_pulls.rs
+++ b/crates/core/src/peers/record_pulls.rs
@@ -25,7 +25,7 @@
     wanted: BTreeSet<u64>,
 }
 
-/// What both sides held when a pull ended. Another pull can bring nothing new until one of the two
+/// Records held by both sides when a pull ended. Another pull can bring nothing new until one of the two
 /// changes. Guards against endless pulls between builds that keep different invalid records.
 #[derive(Debug, PartialEq, Eq)]
 struct PullOutcome {
