--- a/crates/core/src/fleet/target_state.rs
+++ b/crates/core/src/fleet/target_state.rs
@@ -1,5 +1,5 @@
 use {
-    super::{CostSums, LoadBook, PrefillCost, ReadSample},
+    super::{CostRegression, LoadTracker, PrefillCost, PrefillSample},
     crate::time::MonoMs,
     std::net::SocketAddr,
     whinlatch_wire::{
@@ -10,80 +10,84 @@
     },
 };
 
-/// What is known of a target beyond its record.
+/// Runtime state of a target: what its record doesn't say.
 #[derive(Debug, Clone)]
 pub struct TargetState {
-    /// Its current run, once known.
+    /// Current run; `None` until it is known, and again after too many missed reports.
     pub incarnation: Option<Incarnation>,
-    /// Its address: from the list if it is listed, else from its record.
+    /// Address from its record.
     pub address: SocketAddr,
-    /// What this run is held to be. Only grows within one incarnation.
+    /// Health of the current run. It only gets worse within one incarnation.
     pub health: TargetHealth,
-    /// Its last load report.
+    /// Last load report of the current run.
     pub report: Option<LoadReport>,
-    /// When the report came.
-    pub reported: MonoMs,
-    /// When a report was last asked for.
-    pub asked: Option<MonoMs>,
-    /// Requests of this daemon in flight there.
+    /// Arrival time of the last report.
+    pub reported_at: MonoMs,
+    /// Time at which a report was last requested; `None` before the first request.
+    pub report_requested_at: Option<MonoMs>,
+    /// Requests of this daemon that are in flight there.
     pub in_flight: u32,
-    /// Reads in a row that it didn't answer.
-    pub misses: u32,
-    /// What waits there.
-    pub load: LoadBook,
-    /// Time that it takes to read a prompt, as learnt.
+    /// Consecutive report requests without an answer.
+    pub missed_reports: u32,
+    /// Queued and remaining work.
+    pub load: LoadTracker,
+    /// Prefill cost as learned from samples so far.
     pub cost: PrefillCost,
     stated_tokens_per_s: u64,
-    learnt: CostSums,
+    cost_samples: CostRegression,
 }
 
 impl TargetState {
-    /// A target of which only the record is known; `fleet` is what others taught.
-    pub fn new(record: &TargetRecord, fleet: &CostSums) -> Self {
-        let stated_tokens_per_s = stated_rate(record);
-        let learnt = CostSums::default();
+    /// Creates a target of which only the record is known. `fleet` gives the cost learned on other
+    /// targets.
+    pub fn new(record: &TargetRecord, fleet: &CostRegression) -> Self {
+        let stated_tokens_per_s = record_rate(record);
+        let cost_samples = CostRegression::default();
         Self {
             incarnation: None,
             address: record.address,
             health: TargetHealth::Serving,
             report: None,
-            reported: MonoMs::default(),
-            asked: None,
+            reported_at: MonoMs::default(),
+            report_requested_at: None,
             in_flight: 0,
-            misses: 0,
-            load: LoadBook::default(),
-            cost: learnt.cost(fleet, stated_tokens_per_s),
+            missed_reports: 0,
+            load: LoadTracker::default(),
+            cost: cost_samples.cost(fleet, stated_tokens_per_s),
             stated_tokens_per_s,
-            learnt,
+            cost_samples,
         }
     }
 
-    /// Follows the record of the target.
-    pub fn follow(&mut self, record: &TargetRecord) {
+    /// Applies a changed record: its address and stated rate.
+    pub fn apply_record(&mut self, record: &TargetRecord) {
         self.address = record.address;
-        self.stated_tokens_per_s = stated_rate(record);
+        self.stated_tokens_per_s = record_rate(record);
     }
 
-    /// Learns from a prompt that was read there, and teaches the others' first guess.
-    pub fn learn(&mut self, sample: &ReadSample, fleet: &mut CostSums) {
-        self.learnt.learn(sample, self.stated_tokens_per_s);
-        fleet.learn(sample, self.stated_tokens_per_s);
-        self.cost = self.learnt.cost(fleet, self.stated_tokens_per_s);
+    /// Adds a prefill sample to this target's cost and to the fleet's, which is the first estimate
+    /// for targets without samples.
+    pub fn add_sample(&mut self, sample: &PrefillSample, fleet: &mut CostRegression) {
+        self.cost_samples
+            .add_sample(sample, self.stated_tokens_per_s);
+        fleet.add_sample(sample, self.stated_tokens_per_s);
+        self.cost = self.cost_samples.cost(fleet, self.stated_tokens_per_s);
     }
 
-    /// Notes the run that answers at the address. A new run starts afresh.
-    pub fn seen_as(&mut self, incarnation: Incarnation) {
+    /// Records which run answers at the address. A new run starts without load and with fresh
+    /// health.
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         if self.incarnation == Some(incarnation) {
             return;
         }
         self.incarnation = Some(incarnation);
         self.health = TargetHealth::Serving;
         self.report = None;
-        self.load = LoadBook::default();
+        self.load = LoadTracker::default();
     }
 
-    /// Worsens the health of the run `incarnation`; never betters it. Returns whether it changed.
-    pub fn worsen(&mut self, incarnation: Incarnation, health: TargetHealth) -> bool {
+    /// Worsens the health of the run `incarnation`; never improves it. Returns whether it changed.
+    pub fn worsen_health(&mut self, incarnation: Incarnation, health: TargetHealth) -> bool {
         if self.incarnation != Some(incarnation) || self.health >= health {
             return false;
         }
@@ -91,13 +95,13 @@
         true
     }
 
-    /// Whether new work may be sent.
-    pub fn takes_work(&self) -> bool {
+    /// Returns whether new requests may be sent: its run is known and serving.
+    pub fn accepts_work(&self) -> bool {
         self.incarnation.is_some() && self.health == TargetHealth::Serving
     }
 }
 
-fn stated_rate(record: &TargetRecord) -> u64 {
+fn record_rate(record: &TargetRecord) -> u64 {
     match &record.role {
         TargetRole::Engine {
             prefill_tokens_per_s,
