--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -9,141 +9,143 @@
     },
 };
 
-/// What the process around the core is to do.
+/// Action of the core, to be carried out by the process around it.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// Send an attempt to a target.
     Dispatch(Box<Dispatch>),
-    /// Give the caller its final answer. The request is over.
+    /// Send the caller its final answer. The request has ended.
     Finish(Outcome),
-    /// Pass the request on to the home of its ticket and its answer back.
+    /// Forward the request to the daemon that issued its ticket, and that daemon's answer to the
+    /// caller.
     Forward {
-        /// The request.
+        /// Request to forward.
         request: RequestId,
-        /// The home's address for callers.
+        /// Address of that daemon for callers.
         to: SocketAddr,
-        /// The home.
+        /// Incarnation that issued the ticket; another one at the same address must not answer.
         home: Incarnation,
     },
-    /// Answer with what was kept of the ticket's run.
+    /// Answer a request with the answer kept from the run under its ticket.
     Replay {
-        /// The request that asks again.
+        /// Request to answer.
         request: RequestId,
-        /// The ticket.
+        /// Ticket under which the answer is kept.
         ticket: Ticket,
-        /// How the run ended.
+        /// Outcome of the run, with the id of the request to answer.
         outcome: Outcome,
     },
-    /// Forget the kept answer of a ticket.
+    /// Delete the answer kept under a ticket, which has expired.
     ForgetAnswer {
-        /// The ticket.
+        /// The expired ticket.
         ticket: Ticket,
     },
-    /// Stop reading an attempt's answer and close its connection.
+    /// Stop reading the answer of an attempt and close its connection.
     Abandon {
-        /// The attempt.
+        /// Attempt to abandon.
         attempt: AttemptId,
     },
-    /// Call a target on a matter of its own.
+    /// Call a target for another purpose than an attempt.
     Call {
-        /// The target.
+        /// Target to call.
         target: TargetName,
-        /// Its address.
+        /// Address of the target.
         address: SocketAddr,
-        /// The call.
+        /// Call to send.
         call: TargetCall,
     },
     /// Send a frame over an open link.
     Send {
-        /// The peer.
+        /// Peer at the other end of the link.
         to: Incarnation,
-        /// The frame.
+        /// Frame to send.
         frame: Box<PeerFrame>,
     },
     /// Open a link.
     Link {
-        /// The peer's address for peers.
+        /// Address at which the daemon accepts links.
         address: SocketAddr,
     },
     /// Close a link.
     Unlink {
-        /// The peer.
+        /// Peer at the other end of the link.
         peer: Incarnation,
     },
     /// Read records from the platform.
     ReadRecords {
-        /// Only what changed after this.
+        /// Only records with a newer revision are read.
         after: Revision,
-        /// Wait this long for news, in ms.
+        /// Time for which the platform may delay its answer until there is a change, in ms.
         wait_ms: u64,
     },
     /// Read the list of instances from the platform.
     ReadInstances,
-    /// A decision, for the log.
+    /// Log a decision.
     Decided(Decision),
-    /// Nothing is in flight any more and the daemon may end.
+    /// End the process: a stop was requested and no request is in flight.
     Stopped,
 }
 
-/// An attempt to send.
+/// An attempt to send to a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Dispatch {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// Id of the attempt, unique for each dispatch.
     pub attempt: AttemptId,
-    /// The target.
+    /// Target that is to run the attempt.
     pub target: TargetName,
-    /// Its address.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// The run of the target that is meant.
+    /// Run of the target that the attempt is meant for; any other run refuses it.
     pub expect_incarnation: Incarnation,
-    /// When the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: MonoMs,
-    /// Checked again where the bytes are written: after this moment nothing is sent and
-    /// `NotSent` is reported. Guards against a process that was paused between decision and write.
+    /// Time after which the attempt must not be sent, checked again when its bytes are written; then
+    /// `NotSent` is reported. Guards against a process that is paused between decision and write.
     pub send_before: MonoMs,
-    /// 0 is most urgent, 9 least.
+    /// Priority at the engine: 0 is most urgent, 9 least.
     pub priority: u8,
-    /// Version that must be loaded, if the route states one.
+    /// Version that must be loaded; `None` if any is accepted.
     pub version: Option<u32>,
-    /// Whether chunks that the caller has are to be skipped by resuming after them.
+    /// Whether the attempt resumes after the chunks that the caller already has.
     pub resume: bool,
-    /// Reservation at the target that the prompt uses.
+    /// Reservation at the target that the prompt uses; `None` without a group.
     pub reservation: Option<AttemptId>,
-    /// The other engines of the group.
+    /// Other engines of the group; empty without a group.
     pub group: Vec<GroupMember>,
-    /// Keep the whole answer under this ticket for callers that ask again.
+    /// Ticket under which the complete answer is kept for callers that retry; `None` to keep none.
     pub keep_answer: Option<Ticket>,
 }
 
 /// A call to a target that isn't an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TargetCall {
-    /// Read its load.
+    /// Read the load report.
     Report,
-    /// Read changes of its prefix cache.
+    /// Read changes of the prefix cache.
     CacheEvents {
-        /// Last event known.
+        /// Number of the last event that this daemon knows.
         after: u64,
     },
-    /// Read the state that orders change.
+    /// Read the engine state that orders change.
     State,
-    /// Give an order, unless the moment has passed.
+    /// Send an order.
     Order {
-        /// The order.
+        /// Order to send.
         order: Order,
-        /// Not sent after this moment. Guards against a paused sender that wakes late.
+        /// Time after which it must not be sent. Guards against a paused sender that resumes late.
         send_before: MonoMs,
     },
-    /// Set memory aside.
+    /// Reserve memory, or renew a reservation.
     Reserve {
-        /// The reservation.
+        /// Reservation to request.
         reserve: ReserveRequest,
-        /// Not sent after this moment.
+        /// Time after which it must not be sent, so that a sender that resumes late doesn't reserve
+        /// memory for a request that has ended.
         send_before: MonoMs,
     },
-    /// Give memory back.
+    /// Release reserved memory.
     Release(ReleaseRequest),
     /// Cancel an attempt.
     Cancel(CancelRequest),
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,4 +1,4 @@
-//! Limits by client account and by deadline.
+//! Admission of requests: account, key, caller and route.
 
 mod authorize;
 
--- a/crates/core/src/admission/authorize.rs
+++ b/crates/core/src/admission/authorize.rs
@@ -11,22 +11,22 @@
     },
 };
 
-/// Why a request is refused before it is looked at further.
+/// Reason for which a request is refused at admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refused {
-    /// The account or its key is wrong.
+    /// The account is unknown, or the key isn't one of its keys.
     #[error("the account is not known or the key is wrong: check both")]
     Unauthorized,
     /// No record names the model or service.
     #[error("no record names this model or service: check its name")]
     Unknown,
-    /// No route is for this account and caller.
-    #[error("no record lets this account and caller use it: ask the operators for a route")]
+    /// The account doesn't list the caller, or no route allows both.
+    #[error("no route allows this account and caller: ask the operators for one")]
     NotAllowed,
 }
 
 impl Refused {
-    /// The reason that the caller gets.
+    /// Returns the reason code that the caller receives.
     pub fn reason(self) -> Reason {
         match self {
             Self::Unauthorized => Reason::Unauthorized,
@@ -36,10 +36,10 @@
     }
 }
 
-/// Finds the route that allows a request.
+/// Authenticates a request and returns the key and body of the route that allows it.
 ///
 /// # Errors
-/// [`Refused`] if account, key, caller or route don't allow it.
+/// [`Refused`] if the account, its key, the caller or the routes don't allow the request.
 pub fn authorize<'a>(
     in_force: &'a InForce,
     submission: &Submission,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether the work of a route may be run more than once.
+/// Returns whether requests of a route may run more than once. Prompts always may.
 pub fn is_idempotent(route: &RouteRecord) -> bool {
     match &route.subject {
         RouteSubject::Model { .. } => true,
--- a/crates/core/src/decisions.rs
+++ b/crates/core/src/decisions.rs
@@ -1,9 +1,9 @@
-//! Decisions as they are logged and explained to operators.
+//! Decisions, for the log and for reports to operators.
 
 mod decision;
-mod decision_book;
+mod decision_history;
 
 pub use {
     decision::{Decision, Part},
-    decision_book::DecisionBook,
+    decision_history::DecisionBook,
 };
--- a/crates/core/src/decisions/decision.rs
+++ b/crates/core/src/decisions/decision.rs
@@ -1,28 +1,28 @@
 use whinlatch_wire::ids::RequestId;
 
-/// The part of the core that decided.
+/// Subsystem of the core that made a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Part {
     /// Configuration records.
     Records,
-    /// Daemons and targets.
+    /// State of daemons and targets.
     Fleet,
     /// Links between daemons.
     Peers,
     /// Limits and deadlines.
     Admission,
-    /// Choice of a target.
+    /// Choice of a single target.
     Routing,
     /// Choice of a group of engines.
     Placement,
     /// Attempts, retries and tickets.
     Requests,
-    /// Orders to targets.
+    /// Orders to engines.
     Orders,
 }
 
 impl Part {
-    /// The fixed prefix of the part's log lines.
+    /// Returns the prefix of the subsystem's log lines, which is also its name in decision reports.
     pub fn prefix(self) -> &'static str {
         match self {
             Self::Records => "records",
@@ -37,13 +37,13 @@
     }
 }
 
-/// A decision in a short sentence.
+/// A decision of the core, described in a short sentence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
-    /// The part that decided.
+    /// Subsystem that made the decision.
     pub part: Part,
-    /// The request it is about, if any.
+    /// Request that the decision concerns; `None` for decisions about the daemon or the fleet.
     pub request: Option<RequestId>,
-    /// What was decided and why.
+    /// Decision and its reason, as shown to operators.
     pub text: String,
 }
--- a/crates/core/src/decisions/decision_book.rs
+++ b/crates/core/src/decisions/decision_history.rs
@@ -9,26 +9,26 @@
     },
 };
 
-/// Requests whose decisions are kept for `GET /v1/decisions/{request}`.
-const KEPT_REQUESTS: usize = 2_000;
+/// Maximum number of requests whose decisions are kept for `GET /v1/decisions/{request}`.
+const MAX_REQUESTS: usize = 2_000;
 
-/// Decisions of the latest requests.
+/// Decisions about the most recent requests.
 #[derive(Debug, Default)]
 pub struct DecisionBook {
-    reports: HashMap<RequestId, Page>,
+    reports: HashMap<RequestId, RequestHistory>,
     order: VecDeque<RequestId>,
 }
 
 #[derive(Debug)]
-struct Page {
-    opened: MonoMs,
+struct RequestHistory {
+    started_at: MonoMs,
     report: DecisionReport,
 }
 
 impl DecisionBook {
-    /// Begins the page of a request; the oldest page goes when there are too many.
+    /// Starts the report of a request, and evicts the oldest one if there are too many.
     pub fn open(&mut self, now: MonoMs, request: RequestId) {
-        if self.order.len() >= KEPT_REQUESTS
+        if self.order.len() >= MAX_REQUESTS
             && let Some(oldest) = self.order.pop_front()
         {
             self.reports.remove(&oldest);
@@ -42,8 +42,8 @@
             .reports
             .insert(
                 request,
-                Page {
-                    opened: now,
+                RequestHistory {
+                    started_at: now,
                     report,
                 },
             )
@@ -53,30 +53,31 @@
         }
     }
 
-    /// Notes a decision about a request whose page is open.
+    /// Adds a decision to the report of its request. Ignores a decision without a request, and one
+    /// whose request has no report.
     pub fn note(&mut self, now: MonoMs, decision: &Decision) {
-        let Some(page) = decision
+        let Some(history) = decision
             .request
             .and_then(|request| self.reports.get_mut(&request))
         else {
             return;
         };
-        page.report.steps.push(DecisionStep {
-            after_ms: now.since(page.opened),
+        history.report.steps.push(DecisionStep {
+            after_ms: now.since(history.started_at),
             part: decision.part.prefix().to_owned(),
             text: decision.text.clone(),
         });
     }
 
-    /// Notes how a request ended.
+    /// Adds the outcome of a request to its report.
     pub fn close(&mut self, outcome: &Outcome) {
-        if let Some(page) = self.reports.get_mut(&outcome.request) {
-            page.report.outcome = Some(outcome.clone());
+        if let Some(history) = self.reports.get_mut(&outcome.request) {
+            history.report.outcome = Some(outcome.clone());
         }
     }
 
-    /// The page of a request, if it is still kept.
+    /// Returns the report of a request; `None` if it was never started or has been evicted.
     pub fn report(&self, request: RequestId) -> Option<&DecisionReport> {
-        self.reports.get(&request).map(|page| &page.report)
+        self.reports.get(&request).map(|history| &history.report)
     }
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -11,181 +11,182 @@
     },
 };
 
-/// What happened around the core.
+/// Input of the core, reported by the process around it.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time went on. Sent every 50 ms or so; a longer gap shows that the process was paused.
+    /// Time has passed. Sent about every 50 ms; a longer gap shows that the process was paused.
     Tick,
-    /// The platform answered or failed to.
+    /// The platform answered a read, or the read failed.
     Platform(PlatformEvent),
-    /// A link to a peer that proved itself is open.
+    /// A link to an authenticated peer is open.
     PeerUp {
-        /// What the peer said of itself.
+        /// Greeting of the peer, with its identity and addresses.
         hello: Hello,
     },
-    /// A frame came over an open link.
+    /// A frame arrived over an open link.
     PeerFrame {
-        /// The peer.
+        /// Peer that sent the frame.
         from: Incarnation,
         /// The frame, boxed since most events are small.
         frame: Box<PeerFrame>,
     },
-    /// A link is closed, or could not be opened.
+    /// A link was closed, or could not be opened.
     PeerDown {
-        /// Address that was linked.
+        /// Address of the link.
         address: SocketAddr,
-        /// The peer, if it had proved itself.
+        /// The peer; `None` if it wasn't authenticated yet.
         peer: Option<Incarnation>,
     },
-    /// A caller's request was read whole.
+    /// A caller's request was read completely.
     Submit(Box<Submission>),
-    /// Something became of an attempt.
+    /// An attempt made progress or ended.
     Attempt {
-        /// The attempt.
+        /// Id of the attempt, which may already have ended here.
         attempt: AttemptId,
-        /// What became of it.
+        /// Progress or end of the attempt.
         event: AttemptEvent,
     },
-    /// A request that was passed on to its ticket's home is over.
+    /// A request that was forwarded to the home of its ticket has ended.
     ForwardEnded {
-        /// The request.
+        /// The forwarded request.
         request: RequestId,
-        /// How it ended.
+        /// Whether the caller got an answer.
         end: ForwardEnd,
     },
     /// The caller of a request closed its connection.
     CallerGone {
-        /// The request.
+        /// Request whose caller is gone.
         request: RequestId,
     },
-    /// A target answered a call that isn't an attempt, or failed to.
+    /// A target answered a call that isn't an attempt, or the call failed.
     Target {
-        /// The target.
+        /// Target that was called.
         target: TargetName,
-        /// What it answered.
+        /// Answer or failure of the call.
         event: TargetEvent,
     },
-    /// The process was told to stop: finish what is in flight, take nothing new.
+    /// The process was asked to stop: requests in flight are finished, new ones are refused once
+    /// callers have had time to drop this daemon's address.
     Stop,
 }
 
-/// What became of a request that was passed on to its ticket's home.
+/// End of a request that was forwarded to the home of its ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardEnd {
-    /// The home's answer was passed back whole.
+    /// The answer of the home was passed on to the caller completely.
     Answered,
     /// The home could not be reached, or its answer broke off.
     Lost,
 }
 
-/// An answer of the platform.
+/// Result of a read from the platform.
 #[derive(Debug, Clone)]
 pub enum PlatformEvent {
-    /// Records after the revision that was asked for.
+    /// Records newer than the requested revision.
     Records(RecordPage),
-    /// The history that was asked for is gone.
+    /// The platform no longer has the changes after the requested revision.
     HistoryGone,
     /// The list of instances.
     Instances(InstanceList),
-    /// A read of records was not answered, or refused.
+    /// A read of records was refused or got no answer.
     RecordsFailed,
-    /// A read of the list was not answered, or refused.
+    /// A read of the list of instances was refused or got no answer.
     InstancesFailed,
 }
 
 /// A caller's request without its body, which stays with the connection.
 #[derive(Debug, Clone)]
 pub struct Submission {
-    /// Drawn at random when the request was read.
+    /// Id of the request, drawn at random when it was read.
     pub request: RequestId,
     /// Client account that the caller names.
     pub account: AccountName,
-    /// Caller within the account, if named.
+    /// Caller within the account; `None` if the request names none.
     pub caller: Option<CallerName>,
     /// SHA-256 digest in hexadecimal of the key that the caller presents.
     pub key_sha256: String,
-    /// Time that the caller gives, in ms from now.
+    /// Time within which the caller wants the complete answer, in ms from acceptance.
     pub deadline_ms: u64,
-    /// Ticket of a non-repeatable request.
+    /// Ticket of a request that must not run twice; `None` for the first send.
     pub ticket: Option<Ticket>,
-    /// The caller's key for repeats of one request.
+    /// Key by which the caller identifies resends of one request.
     pub idempotency_key: Option<String>,
-    /// Daemon that passed the request on to its ticket's home.
+    /// Daemon that forwarded the request to the home of its ticket; `None` from a caller.
     pub forwarded_by: Option<Incarnation>,
-    /// Hash of account, path and body; the same for the same request sent again.
+    /// Hash of account, path and body; equal for resends of the same request.
     pub fingerprint: u64,
-    /// What is asked for.
+    /// Prompt or call to run.
     pub work: Work,
 }
 
-/// What a request asks for.
+/// Work that a request asks for.
 #[derive(Debug, Clone)]
 pub enum Work {
     /// A prompt for a model.
     Prompt {
-        /// The model.
+        /// Model that is to read the prompt.
         model: ModelName,
-        /// The adapter, if any.
+        /// Adapter of the model; `None` for the model itself.
         adapter: Option<AdapterName>,
-        /// Tokens of the prompt.
+        /// Length of the prompt in tokens.
         prompt_tokens: u64,
-        /// Most tokens of the answer.
+        /// Maximum length of the answer in tokens.
         max_tokens: u32,
-        /// Hashes of the prompt's prefixes at each whole block, shortest first.
+        /// Hashes of the prompt's prefixes at each complete block, shortest first.
         prefix_hashes: Vec<u64>,
     },
-    /// A call of a plain service.
+    /// A call to a plain service.
     Call {
-        /// The service.
+        /// Service to call.
         service: ServiceName,
     },
 }
 
-/// What became of an attempt.
+/// Progress or end of an attempt.
 #[derive(Debug, Clone)]
 pub enum AttemptEvent {
-    /// Not one byte was written: the connection was refused or the dispatch had gone stale.
+    /// No byte was written: the connection was refused, or `send_before` had passed.
     NotSent,
-    /// The target says that it did not run the attempt.
+    /// The target refused the attempt without running it.
     Refused(Refusal),
-    /// The first chunk of the answer came.
+    /// The first chunk of the answer arrived.
     FirstChunk,
-    /// The whole answer came and was passed on.
+    /// The complete answer arrived and was passed on.
     Completed,
-    /// The connection broke after something was written. `chunks` were passed on so far.
+    /// The connection broke after bytes had been written.
     Broken {
-        /// Chunks that the caller has.
+        /// Number of chunks that were passed on to the caller.
         chunks: u64,
     },
-    /// Nothing came for the time that the settings allow, nor over a new connection.
+    /// No byte arrived for the configured time, nor over a new connection.
     Silent {
-        /// Chunks that the caller has.
+        /// Number of chunks that were passed on to the caller.
         chunks: u64,
     },
-    /// The target answered with a failure of its own.
+    /// The target answered with an error.
     Failed {
-        /// Its HTTP status.
+        /// HTTP status of the answer.
         status: u16,
     },
 }
 
-/// A target's answer to a call that isn't an attempt.
+/// Result of a call to a target that isn't an attempt.
 #[derive(Debug, Clone)]
 pub enum TargetEvent {
-    /// Its load.
+    /// Load report of the target.
     Report(LoadReport),
-    /// Changes of its prefix cache.
+    /// Changes of the target's prefix cache.
     Cache(CacheEvents),
-    /// The state that orders change.
+    /// Engine state that orders change.
     State(EngineState),
-    /// What became of an order.
+    /// The engine accepted or refused an order.
     Ordered(OrderVerdict),
-    /// Memory was set aside.
+    /// Memory was reserved or the reservation renewed.
     Reserved(AttemptId),
-    /// Memory was not set aside; nothing is held.
+    /// A reservation was refused; no memory is reserved.
     ReserveRefused(AttemptId),
-    /// A reservation got no answer; it may be held.
+    /// A reservation got no answer; memory may be reserved.
     ReserveLost(AttemptId),
-    /// A report, state or cache read got no answer.
+    /// A read of report, state or cache events got no answer.
     Unreachable,
 }
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to targets: models, adapters and versions to load, and what to work on.
+//! Orders to engines: which models, adapters and versions to load, and in which mode to run.
 
-mod orderer;
+mod order_planner;
 mod ranking;
 
 pub use {
-    orderer::{Duty, Orderer, Step},
+    order_planner::{Duty, Orderer, Step},
     ranking::{first_of, place_of},
 };
--- a/crates/core/src/orders/ranking.rs
+++ b/crates/core/src/orders/ranking.rs
@@ -1,7 +1,7 @@
 use {whinlatch_wire::ids::Incarnation, xxhash_rust::xxh3::xxh3_64_with_seed};
 
-/// How many of `others` rank before `own` for `key` (rendezvous hashing): with one view of the
-/// members all daemons agree, and a member that comes or goes changes nothing for most keys.
+/// Returns how many of `others` rank before `own` for `key`, by rendezvous hashing: daemons with the
+/// same view of the members agree, and a member that joins or leaves changes the ranks of few keys.
 pub fn place_of(own: Incarnation, others: &[Incarnation], key: &str) -> usize {
     let own = (weight(own, key), own);
     let before = others
@@ -10,7 +10,7 @@
     before.count()
 }
 
-/// The `count` members that rank first for `key`.
+/// Returns the `count` members that rank first for `key`, in order of rank.
 pub fn first_of(members: &[Incarnation], key: &str, count: usize) -> Vec<Incarnation> {
     let mut ranked: Vec<(u64, Incarnation)> = members
         .iter()
@@ -21,6 +21,7 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
+/// Rendezvous weight of a member for `key`; the highest ranks first.
 fn weight(member: Incarnation, key: &str) -> u64 {
     let low = member.0 as u64;
     let high = (member.0 >> 64) as u64;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,4 +1,4 @@
-//! Engines for long prompts: claimed while they wait, reserved all or none, often more than one.
+//! Placement of long prompts on groups of engines: queued at the engines, then reserved all or none.
 
 mod choose_group;
 mod group;
--- a/crates/core/src/placement/choose_group.rs
+++ b/crates/core/src/placement/choose_group.rs
@@ -8,67 +8,67 @@
     whinlatch_wire::ids::{AttemptId, TargetName},
 };
 
-/// Part of an engine's memory that a group takes at most, in thousandths, so that light prompts don't
-/// have to wait until it is through.
-const USE_PER_MILLE: u64 = 940;
-/// Engines that a prompt may take beyond the fewest, if it can start at once on so many smaller parts.
-const MOST_EXTRA: usize = 2;
-/// A long prompt is sent once no more than this is left of those before it at its engines, in ms.
-/// Earlier, and it would hold memory while it waits.
-const START_MS: f64 = 300.0;
-/// What is put on top of an engine's time if it seems to have no memory for its part, in ms.
-const NO_MEMORY_MS: f64 = 2_000.0;
-/// Random part of an engine's time, in ms, so that daemons that choose at once don't all choose the
-/// same idle ones.
+/// Maximum share of an engine's memory that a group takes, in thousandths. The rest is left for light
+/// prompts, which would otherwise wait until the group is done.
+const MAX_MEMORY_PER_MILLE: u64 = 940;
+/// Engines beyond the minimum that a prompt may use if it can then start immediately on smaller parts.
+const MAX_EXTRA_ENGINES: usize = 2;
+/// A long prompt is sent once the work queued before it at its engines is below this, in ms. If it
+/// were sent earlier, it would hold memory while it waits.
+const START_THRESHOLD_MS: f64 = 300.0;
+/// Added to an engine's time if it appears to lack memory for its part, in ms.
+const NO_MEMORY_PENALTY_MS: f64 = 2_000.0;
+/// Maximum random time added to an engine's time, in ms, so that daemons that choose at the same time
+/// don't all choose the same idle engines.
 const JITTER_MS: f64 = 50.0;
 
-/// Why there is no group.
+/// Reason for which no group can be formed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum NoGroup {
-    /// All engines together can't hold the prompt.
+    /// The memory of all engines together is too small for the prompt.
     #[error("the prompt is longer than all engines together hold: shorten it")]
     TooLong,
-    /// Too many of the engines that could hold it are away.
+    /// Too few of the engines that could hold the prompt are live.
     #[error("too few of the engines that could hold the prompt are live")]
     NoneLive,
 }
 
-/// Engines for a prompt.
+/// Engines chosen for a prompt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChosenGroup {
-    /// The engines in the order of their names.
+    /// The engines, sorted by name.
     pub targets: Vec<TargetName>,
-    /// Tokens that each sets aside.
+    /// Memory that each engine reserves, in tokens.
     pub part_tokens: u64,
-    /// Whether the prompt can start at once, as far as is known.
+    /// Whether the prompt can start immediately according to the last load reports.
     pub now: bool,
-    /// Predicted time until the last of them is free, in ms.
+    /// Predicted time until the last of the engines is free, in ms.
     pub wait_ms: f64,
     /// Predicted time to read the prompt, in ms.
     pub read_ms: f64,
 }
 
-/// A request that waits for engines.
+/// A prompt that waits for engines.
 #[derive(Debug, Clone, Copy)]
 pub struct Waiter {
-    /// When it was taken in.
+    /// Time by which it is ranked among the waiting prompts, earliest first.
     pub since: MonoMs,
-    /// Names its claim.
+    /// Id under which it is queued at the engines.
     pub claim: AttemptId,
 }
 
-/// An engine that may take part.
+/// An engine that may join a group, with its memory and predicted times.
 struct Engine<'a> {
     target: &'a TargetName,
     state: &'a TargetState,
     memory_tokens: u64,
     free_tokens: u64,
-    before_ms: f64,
-    order_ms: f64,
+    queued_ms: f64,
+    cost_ms: f64,
 }
 
-/// Chooses engines for a prompt, those that are the first to be through with the long prompts that go
-/// before it: the fewest on which it can start at once, else the fewest that hold it.
+/// Chooses the engines that finish the long prompts queued before this one first: as few as possible
+/// on which it can start immediately, or else as few as can hold it.
 ///
 /// # Errors
 /// [`NoGroup`] if there aren't enough engines.
@@ -80,31 +80,37 @@
     rng: &mut fastrand::Rng,
 ) -> Result<ChosenGroup, NoGroup> {
     let tokens = tokens_of(ask.work);
-    let fewest = fewest(usable, tokens).ok_or(NoGroup::TooLong)?;
+    let min_count = min_engines(usable, tokens).ok_or(NoGroup::TooLong)?;
     let mut engines: Vec<Engine<'_>> = usable
         .iter()
         .map(|candidate| engine(scene, ask, waiter, candidate, rng))
         .collect();
-    engines.sort_by(|a, b| a.order_ms.total_cmp(&b.order_ms));
-    let most = (fewest + MOST_EXTRA).min(engines.len());
-    let at_once = (fewest..=most).find_map(|count| {
+    engines.sort_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms));
+    let max_count = (min_count + MAX_EXTRA_ENGINES).min(engines.len());
+    let immediate = (min_count..=max_count).find_map(|count| {
         let part_tokens = tokens.div_ceil(count as u64);
-        let ready = |e: &&Engine<'_>| e.before_ms <= START_MS && e.free_tokens >= part_tokens;
+        let ready =
+            |e: &&Engine<'_>| e.queued_ms <= START_THRESHOLD_MS && e.free_tokens >= part_tokens;
         let chosen: Vec<&Engine<'_>> = engines.iter().filter(ready).take(count).collect();
         (chosen.len() == count).then(|| chosen_group(ask, &chosen, part_tokens, true))
     });
-    if let Some(group) = at_once {
+    if let Some(group) = immediate {
         return Ok(group);
     }
-    let part_tokens = tokens.div_ceil(fewest as u64);
-    let memory_ms = |e: &Engine<'_>| {
-        let short = e.free_tokens < part_tokens;
-        e.order_ms + if short { NO_MEMORY_MS } else { 0.0 }
+    let part_tokens = tokens.div_ceil(min_count as u64);
+    let cost_with_memory_ms = |e: &Engine<'_>| {
+        let lacks_memory = e.free_tokens < part_tokens;
+        e.cost_ms
+            + if lacks_memory {
+                NO_MEMORY_PENALTY_MS
+            } else {
+                0.0
+            }
     };
     engines.retain(|e| e.memory_tokens >= part_tokens);
-    engines.sort_by(|a, b| memory_ms(a).total_cmp(&memory_ms(b)));
-    let chosen: Vec<&Engine<'_>> = engines.iter().take(fewest).collect();
-    if chosen.len() < fewest {
+    engines.sort_by(|a, b| cost_with_memory_ms(a).total_cmp(&cost_with_memory_ms(b)));
+    let chosen: Vec<&Engine<'_>> = engines.iter().take(min_count).collect();
+    if chosen.len() < min_count {
         return Err(NoGroup::NoneLive);
     }
     Ok(chosen_group(ask, &chosen, part_tokens, false))
@@ -124,7 +130,7 @@
         targets,
         part_tokens,
         now,
-        wait_ms: engines.iter().map(|e| e.before_ms).fold(0.0, f64::max),
+        wait_ms: engines.iter().map(|e| e.queued_ms).fold(0.0, f64::max),
         read_ms: engines.iter().map(read_ms).fold(0.0, f64::max),
     }
 }
@@ -142,9 +148,9 @@
     let claimed_ms = state
         .load
         .claimed_before_ms(scene.now, waiter.since, waiter.claim);
-    let before_ms = left.long_ms + claimed_ms;
+    let queued_ms = left.long_ms + claimed_ms;
     let read_ms = state.cost.read_ms(0, ask.prompt_tokens(), 1);
-    // Beside its help for others an engine reads at half its speed, until either is done.
+    // While it helps another engine, an engine reads at half its speed until one of the two is done.
     let helping_ms = left.helping_ms.min(read_ms);
     let others_ms = left.light_ms + left.medium_ms + rng.f64() * JITTER_MS;
     let tried = !ask.tried.is_empty() && ask.tried.contains(target);
@@ -154,19 +160,20 @@
         state,
         memory_tokens: candidate.memory_tokens,
         free_tokens: state.load.free_tokens(),
-        before_ms,
-        order_ms: before_ms + helping_ms + others_ms + tried_ms,
+        queued_ms,
+        cost_ms: queued_ms + helping_ms + others_ms + tried_ms,
     }
 }
 
-/// The fewest engines that hold the prompt, each with some memory left, or without if there are no
-/// more. `None` if not even all of them do.
-fn fewest(list: &[Candidate], tokens: u64) -> Option<usize> {
+/// Minimum number of engines that hold the prompt, each with some memory left for other prompts, or
+/// with full memory if there are too few engines for that. `None` if all engines together can't hold
+/// it.
+fn min_engines(list: &[Candidate], tokens: u64) -> Option<usize> {
     let largest = list.iter().map(|candidate| candidate.memory_tokens).max()?;
     let engines = |memory_tokens: u64| tokens.div_ceil(memory_tokens.max(1)) as usize;
-    let leaving = engines(largest * USE_PER_MILLE / 1_000);
-    let filling = engines(largest);
-    [leaving, filling]
+    let with_reserve = engines(largest * MAX_MEMORY_PER_MILLE / 1_000);
+    let with_full_memory = engines(largest);
+    [with_reserve, with_full_memory]
         .into_iter()
         .find(|count| *count <= list.len())
 }
--- a/crates/core/src/placement/group.rs
+++ b/crates/core/src/placement/group.rs
@@ -7,74 +7,76 @@
     },
 };
 
-/// How long an engine may take to answer a reservation, in ms. Short, since others wait behind it.
+/// Time within which an engine must answer a reservation, in ms. Short, since other prompts wait behind
+/// it.
 pub const RESERVE_WITHIN_MS: u64 = 1_000;
-/// How long an engine holds memory unless the hold is renewed, in ms. A daemon that dies or is cut
-/// off never releases; the hold then ends by itself, so that no engine loses memory for good.
+/// Time after which an engine releases reserved memory unless the reservation is renewed, in ms. A
+/// daemon that dies or is disconnected never releases its reservations; the expiry keeps engines from
+/// losing that memory for good.
 const HOLD_MS: u64 = 15_000;
-/// Time between renewals of a hold, in ms: two may get lost before it ends.
-const RENEW_EVERY_MS: u64 = 5_000;
+/// Interval of renewals of a reservation, in ms. Two renewals may be lost before it expires.
+const RENEW_INTERVAL_MS: u64 = 5_000;
 
-/// An engine's part of a group.
+/// One engine of a group and its reservation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Part {
-    /// The engine.
+    /// Name of the engine.
     pub target: TargetName,
-    /// Its address.
+    /// Address of the engine for calls.
     pub address: SocketAddr,
-    /// Its run.
+    /// Run of the engine that must grant the reservation.
     pub incarnation: Incarnation,
-    /// Names the reservation there.
+    /// Id of the reservation, chosen by this daemon.
     pub reservation: AttemptId,
 }
 
-/// How far a group is.
+/// Progress of a group's reservations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupState {
-    /// Nothing is held; the engines are claimed, and tried again at this moment.
+    /// No memory is reserved. The prompt is queued at the chosen engines.
     Waiting {
-        /// The moment.
+        /// Time of the next attempt to choose and reserve engines.
         due: MonoMs,
     },
-    /// The parts before `next` are held and `next` was asked.
+    /// The parts before `next` are reserved, and the request for `next` is pending.
     Acquiring {
-        /// The part that was asked.
+        /// Index of the part whose engine hasn't answered yet.
         next: usize,
-        /// When it was asked.
+        /// When the reservation of that part was requested.
         asked: MonoMs,
     },
-    /// All parts are held.
+    /// All parts are reserved.
     Held {
-        /// When the holds are renewed.
+        /// Time of the next renewal.
         renew: MonoMs,
     },
 }
 
-/// Engines that together hold one long prompt, one or more: all of them or none.
+/// A group of one or more engines that together hold one long prompt, reserved all or none.
 ///
-/// Parts are asked in the order of the targets' names, one at a time, and all are given back on the
-/// first refusal. Guards against two daemons that each hold what the other waits for: neither waits
-/// with something in hand, and both meet at the same first engine.
+/// Parts are reserved one at a time, in the order of the targets' names, and all are released on the
+/// first refusal. Guards against a deadlock of two daemons that each hold engines the other waits for:
+/// no daemon keeps reservations while it waits, and both start with the same engine.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// Names the request's claim on engines while it waits.
+    /// Id under which the prompt is queued at engines while it waits.
     pub claim: AttemptId,
-    /// The place of the provider that was drawn for it in its route.
+    /// Index in the route's list of the provider that was drawn for the prompt.
     pub provider: usize,
-    /// Engines that are claimed.
+    /// Engines at which the prompt is queued.
     pub claimed: Vec<TargetName>,
-    /// Its engines in the order in which they are asked.
+    /// Parts in the order in which they are reserved; empty while the group is waiting.
     pub parts: Vec<Part>,
-    /// Tokens that each engine sets aside.
+    /// Memory that each engine reserves, in tokens.
     pub part_tokens: u64,
-    /// How far it is.
+    /// Progress of the reservations.
     pub state: GroupState,
-    /// Times that it was put off.
+    /// Number of failed attempts to reserve; each one doubles the back-off.
     pub tries: u32,
 }
 
 impl Group {
-    /// A group of which nothing is held or claimed.
+    /// Creates a group without reservations that is due immediately and not queued anywhere.
     pub fn new(now: MonoMs, claim: AttemptId, provider: usize) -> Self {
         Self {
             claim,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Parts that an engine holds or may hold.
+    /// Parts that are or may be reserved, including the one whose engine hasn't answered.
     pub fn held(&self) -> &[Part] {
         match self.state {
             GroupState::Waiting { .. } => &[],
@@ -96,7 +98,7 @@
         }
     }
 
-    /// What to ask the engine of a part.
+    /// Returns the reservation request for the engine of a part.
     pub fn ask(&self, part: &Part, owner: Incarnation) -> ReserveRequest {
         ReserveRequest {
             reservation: part.reservation,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The part that was asked last and has not answered.
+    /// Part whose engine hasn't answered yet; `None` unless the group is acquiring.
     pub fn asked(&self) -> Option<&Part> {
         match self.state {
             GroupState::Acquiring { next, .. } => self.parts.get(next),
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Notes that the part that was asked is held. Returns whether all are.
+    /// Records that the pending part is reserved. Returns whether all parts now are.
     pub fn advance(&mut self, now: MonoMs) -> bool {
         let GroupState::Acquiring { next, .. } = self.state else {
             return false;
@@ -131,14 +133,14 @@
         true
     }
 
-    /// Notes that all holds are renewed.
+    /// Marks all parts as reserved and schedules the next renewal.
     pub fn renewed(&mut self, now: MonoMs) {
         self.state = GroupState::Held {
-            renew: now + RENEW_EVERY_MS,
+            renew: now + RENEW_INTERVAL_MS,
         };
     }
 
-    /// The parts beside the one at `leader`, as the engine that runs the prompt is told of them.
+    /// Parts other than the leader's, as listed in the dispatch to `leader`, which runs the prompt.
     pub fn members(&self, leader: &TargetName) -> Vec<GroupMember> {
         self.parts
             .iter()
@@ -150,13 +152,13 @@
             .collect()
     }
 
-    /// The engines beside `leader`.
+    /// Engines of the group other than `leader`.
     pub fn helpers(&self, leader: &TargetName) -> Vec<TargetName> {
         let others = self.parts.iter().filter(|part| part.target != *leader);
         others.map(|part| part.target.clone()).collect()
     }
 
-    /// The reservation at a target.
+    /// Id of the reservation at a target; `None` if the target isn't part of the group.
     pub fn reservation_at(&self, target: &TargetName) -> Option<AttemptId> {
         let part = self.parts.iter().find(|part| part.target == *target)?;
         Some(part.reservation)
--- a/crates/core/src/placement/groups.rs
+++ b/crates/core/src/placement/groups.rs
@@ -5,18 +5,18 @@
     whinlatch_wire::ids::{AttemptId, RequestId},
 };
 
-/// What is due for a group.
+/// Action that is due for the group of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DueGroup {
-    /// It is tried again.
+    /// Choose and reserve engines again.
     Try(RequestId),
-    /// An engine didn't answer in time.
+    /// Release the group: an engine didn't answer in time.
     Unanswered(RequestId),
-    /// Its holds are renewed.
+    /// Renew its reservations.
     Renew(RequestId),
 }
 
-/// The groups of this daemon's requests.
+/// Groups of engines of this daemon's requests.
 #[derive(Debug, Default)]
 pub struct Groups {
     by_request: BTreeMap<RequestId, Group>,
@@ -24,22 +24,22 @@
 }
 
 impl Groups {
-    /// The group of a request.
+    /// Returns the group of a request.
     pub fn get(&self, request: RequestId) -> Option<&Group> {
         self.by_request.get(&request)
     }
 
-    /// The group of a request, to change.
+    /// Returns the group of a request, to update its state. New parts need [`Self::insert`].
     pub fn get_mut(&mut self, request: RequestId) -> Option<&mut Group> {
         self.by_request.get_mut(&request)
     }
 
-    /// The request of a reservation that is or may be held.
+    /// Returns the request of a reservation; `None` if its group has been released.
     pub fn of_reservation(&self, reservation: AttemptId) -> Option<RequestId> {
         self.by_reservation.get(&reservation).copied()
     }
 
-    /// Takes in a group, or its new state.
+    /// Adds or replaces the group of a request and indexes its reservations.
     pub fn insert(&mut self, request: RequestId, group: Group) {
         for part in &group.parts {
             self.by_reservation.insert(part.reservation, request);
@@ -47,7 +47,7 @@
         self.by_request.insert(request, group);
     }
 
-    /// Takes a group out; what it holds must be given back.
+    /// Removes a group. The caller must release its reserved parts.
     #[must_use = "its parts are held until they are released"]
     pub fn remove(&mut self, request: RequestId) -> Option<Group> {
         let group = self.by_request.remove(&request)?;
@@ -57,7 +57,7 @@
         Some(group)
     }
 
-    /// What is due now.
+    /// Returns the actions that are due, ordered by request id.
     pub fn due(&self, now: MonoMs) -> Vec<DueGroup> {
         self.by_request
             .iter()
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,7 +1,7 @@
-//! Requests in flight, their attempts, and the tickets of those that may not be repeated.
+//! Requests in flight, their attempts, and the tickets of requests that may run only once.
 
 mod attempt_end;
-mod casualties;
+mod crashed_targets;
 mod holdings;
 mod issued_keys;
 mod poison_book;
@@ -22,6 +22,6 @@
     ticket_book::{Claim, NoTicket, TicketBook},
 };
 use {
-    casualties::Casualties,
+    crashed_targets::CrashedTargets,
     issued_keys::{IssuedKeys, KeyUse},
 };
--- a/crates/core/src/requests/attempt_end.rs
+++ b/crates/core/src/requests/attempt_end.rs
@@ -1,8 +1,8 @@
-/// What an ended attempt says of the run.
+/// Whether a target may have run an attempt that has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Not one byte was written, or the target itself said that it did not run it and never will.
+    /// No byte was sent, or the target reported that it did not run the attempt and never will.
     NotRun,
-    /// Anything else.
+    /// Any other end: the target may have run the attempt.
     MayHaveRun,
 }
--- a/crates/core/src/requests/holdings.rs
+++ b/crates/core/src/requests/holdings.rs
@@ -7,94 +7,99 @@
     },
 };
 
-/// How far past its deadline a holding may be, in ms. The target frees it itself within this.
+/// How far past its deadline a holding may be, in ms. Within this time the target frees it itself.
 const OVERDUE_GRACE_MS: u64 = 2_000;
-/// How long a holding of a dead daemon is left alone, in ms. Longer than a false death lasts.
+/// How long a holding of a dead daemon is left in place, in ms: longer than a daemon is falsely
+/// considered dead.
 const DEAD_GRACE_MS: u64 = 5_000;
-/// How long an own holding that isn't known here is left alone, in ms: reports lag.
+/// How long a holding of this daemon that it doesn't know is left in place, in ms, since reports lag.
 const OWN_GRACE_MS: u64 = 1_000;
-/// How much longer each daemon waits than the one that ranks before it, in ms.
-const PLACE_STEP_MS: u64 = 1_000;
-/// Daemons beyond this place wait no longer.
-const LAST_PLACE: usize = 10;
-/// Time between two attempts to free one holding, in ms.
-const AGAIN_MS: u64 = 1_000;
+/// Extra wait of each daemon compared with the one ranked before it, in ms.
+const RANK_STEP_MS: u64 = 1_000;
+/// Rank from which the wait no longer grows.
+const MAX_DELAY_RANK: usize = 10;
+/// Time between two attempts to free the same holding, in ms.
+const RETRY_INTERVAL_MS: u64 = 1_000;
 
-/// Why a holding at a target should not be there.
+/// Why a holding at a target is leaked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It is past its deadline.
+    /// Past its deadline.
     Overdue,
-    /// Its owner is dead.
+    /// Owned by a dead daemon.
     OwnerDead,
-    /// It is this daemon's, and over: the cancel got lost.
+    /// Owned by this daemon, but its request has ended: the cancel was lost.
     Over,
 }
 
-/// Memory at targets that nobody will give back, seen in load reports.
+/// Detects leaked memory at targets from their load reports.
 ///
-/// Guards against the loss of an engine's memory for good: the owner died, or its cancel got lost.
-/// Every daemon sees every report and frees what is at fault. The daemon that ranks first for the
-/// target does so first, to save messages; the others follow one by one, so that nothing rests on
-/// the ranking. Freeing is idempotent.
+/// Guards against an engine losing memory for good because the owner died or its cancel was lost.
+/// Every daemon sees every report and frees leaked holdings. To save messages, the daemon ranked first
+/// for the target acts first; the others follow one after the other, so that correctness doesn't
+/// depend on the ranking. Freeing is idempotent.
 #[derive(Debug, Default)]
 pub struct HoldingWatch {
-    by_target: BTreeMap<TargetName, HashMap<AttemptId, Seen>>,
+    by_target: BTreeMap<TargetName, HashMap<AttemptId, Leak>>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct Leak {
     since: MonoMs,
-    freed: Option<MonoMs>,
+    last_freed_at: Option<MonoMs>,
 }
 
 impl HoldingWatch {
-    /// Takes in the holdings at fault of one report. Returns those to free now. `place` is this
-    /// daemon's rank for the target, from 0.
+    /// Records the leaked holdings of one report and returns those to free now. `rank` is this daemon's
+    /// rank for the target, from 0.
     pub fn report(
         &mut self,
         now: MonoMs,
         target: &TargetName,
         faults: &[(&Holding, Fault)],
-        place: usize,
+        rank: usize,
     ) -> Vec<Holding> {
         let former = self.by_target.remove(target).unwrap_or_default();
-        let mut seen_now = HashMap::new();
+        let mut leaks = HashMap::new();
         let mut to_free = Vec::new();
         for (holding, fault) in faults {
-            let mut seen = former.get(&holding.attempt).copied().unwrap_or(Seen {
+            let mut leak = former.get(&holding.attempt).copied().unwrap_or(Leak {
                 since: now,
-                freed: None,
+                last_freed_at: None,
             });
-            let due = now.since(seen.since) >= wait_ms(*fault, place);
-            if due && seen.freed.is_none_or(|freed| now.since(freed) >= AGAIN_MS) {
-                seen.freed = Some(now);
+            let due = now.since(leak.since) >= wait_ms(*fault, rank);
+            if due
+                && leak
+                    .last_freed_at
+                    .is_none_or(|at| now.since(at) >= RETRY_INTERVAL_MS)
+            {
+                leak.last_freed_at = Some(now);
                 to_free.push((*holding).clone());
             }
-            seen_now.insert(holding.attempt, seen);
+            leaks.insert(holding.attempt, leak);
         }
-        if !seen_now.is_empty() {
-            self.by_target.insert(target.clone(), seen_now);
+        if !leaks.is_empty() {
+            self.by_target.insert(target.clone(), leaks);
         }
         to_free
     }
 
-    /// Forgets targets that the records no longer name.
+    /// Removes targets that the records no longer name.
     pub fn retain(&mut self, named: impl Fn(&TargetName) -> bool) {
         self.by_target.retain(|target, _| named(target));
     }
 }
 
-/// Whether a holding is past its deadline by more than the target needs to free it itself.
+/// Returns whether a holding is past its deadline by more than the target needs to free it itself.
 pub fn is_overdue(holding: &Holding) -> bool {
     holding.overdue_ms > OVERDUE_GRACE_MS
 }
 
-fn wait_ms(fault: Fault, place: usize) -> u64 {
-    let place_ms = place.min(LAST_PLACE) as u64 * PLACE_STEP_MS;
+fn wait_ms(fault: Fault, rank: usize) -> u64 {
+    let rank_ms = rank.min(MAX_DELAY_RANK) as u64 * RANK_STEP_MS;
     match fault {
-        Fault::Overdue => place_ms,
-        Fault::OwnerDead => DEAD_GRACE_MS + place_ms,
+        Fault::Overdue => rank_ms,
+        Fault::OwnerDead => DEAD_GRACE_MS + rank_ms,
         Fault::Over => OWN_GRACE_MS,
     }
 }
--- a/crates/core/src/requests/issued_keys.rs
+++ b/crates/core/src/requests/issued_keys.rs
@@ -5,12 +5,12 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Idempotency keys kept for one account.
+/// Maximum number of idempotency keys of one account.
 const MAX_PER_ACCOUNT: u32 = 50_000;
-/// Idempotency keys kept for all accounts.
-const MAX_IN_ALL: usize = 400_000;
+/// Maximum number of idempotency keys of all accounts.
+const MAX_KEYS: usize = 400_000;
 
-/// What an idempotency key stands for.
+/// Ticket number and request fingerprint that an idempotency key was used with.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct KeyUse {
     pub(super) number: u64,
@@ -33,11 +33,11 @@
     }
 }
 
-/// The idempotency keys whose tickets were used, for as long as the home lives.
+/// Idempotency keys for which this daemon issued tickets, kept until the process ends.
 ///
-/// Guards against a second run long after the first: were a key forgotten with its ticket, a
-/// caller that asks again would get a new ticket and a second label. The keys outlive the
-/// tickets, as hashes. When there are too many, new keys are refused; none is forgotten.
+/// Guards against a second run long after the first: if a key were evicted together with its ticket, a
+/// caller that retries would get a new ticket and the request would run again. Keys therefore outlive
+/// their tickets, as hashes. At the limit, new keys are refused; none is evicted.
 #[derive(Debug)]
 pub(super) struct IssuedKeys {
     secret: u64,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Hash of a key within its account.
+    /// Hash of a key, seeded with its account.
     pub(super) fn hash_of(&self, account: &AccountName, key: &str) -> u64 {
         let seed = xxh3_64_with_seed(account.as_str().as_bytes(), self.secret);
         xxh3_64_with_seed(key.as_bytes(), seed)
@@ -65,8 +65,8 @@
     }
 
     pub(super) fn is_full(&self, account: &AccountName) -> bool {
-        let held = self.per_account.get(account).copied().unwrap_or(0);
-        held >= MAX_PER_ACCOUNT || self.keys.len() >= MAX_IN_ALL
+        let count = self.per_account.get(account).copied().unwrap_or(0);
+        count >= MAX_PER_ACCOUNT || self.keys.len() >= MAX_KEYS
     }
 
     pub(super) fn insert(&mut self, key: u64, account: &AccountName, known: KeyUse) {
@@ -78,9 +78,9 @@
         if self.keys.remove(&key).is_none() {
             return;
         }
-        if let Some(held) = self.per_account.get_mut(account) {
-            *held -= 1;
-            if *held == 0 {
+        if let Some(count) = self.per_account.get_mut(account) {
+            *count -= 1;
+            if *count == 0 {
                 self.per_account.remove(account);
             }
         }
--- a/crates/core/src/requests/poison_book.rs
+++ b/crates/core/src/requests/poison_book.rs
@@ -1,5 +1,5 @@
 use {
-    super::Casualties,
+    super::CrashedTargets,
     crate::time::MonoMs,
     std::collections::{BTreeMap, HashMap},
     whinlatch_wire::{
@@ -8,73 +8,73 @@
     },
 };
 
-/// How long a suspicion is remembered after the last death, in ms.
-const KEEP_MS: u64 = 600_000;
-/// Suspects that are remembered.
-const MAX_CASES: usize = 2_000;
-/// Runs of targets remembered for one suspect.
-const MAX_DEATHS: usize = 16;
-/// Targets that one request may bring down at most, whether it ran alone or not.
-const MAX_TARGETS: usize = 3;
+/// How long a suspicion is kept after the last crash, in ms.
+const SUSPICION_TTL_MS: u64 = 600_000;
+/// Maximum number of suspected requests; beyond it [`PoisonBook::evict_weakest`] drops one.
+const MAX_SUSPECTS: usize = 2_000;
+/// Maximum number of crashed target runs kept for one suspect.
+const MAX_CRASHES_PER_SUSPECT: usize = 16;
+/// Number of crashed targets after which a request is poison, whether or not it ran alone there.
+const MAX_CRASHED_TARGETS: usize = 3;
 
-/// What is thought of a request.
+/// How strongly a request is suspected of crashing targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing speaks against it.
+    /// No target is known to have crashed while it was in flight there.
     Clear,
-    /// A target died or may have died with it in flight. It runs alone.
+    /// A target crashed, or may have crashed, with the request in flight. It must run alone.
     Suspect,
-    /// Whether it is poison depends on a target that is silent but may live. It waits.
+    /// Whether it is poison depends on a silent target whose crash isn't confirmed. It must wait.
     InDoubt,
-    /// It brought down too many targets.
+    /// It crashed too many targets and is refused.
     Poison {
-        /// For how much longer it is refused, in ms.
+        /// Time until the refusal ends, in ms.
         keep_ms: u64,
     },
 }
 
-/// What a death says of a request that was in flight there.
+/// How a request was involved in the crash of a target where it was in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Death {
-    /// Others were in flight there too.
+enum Crash {
+    /// Other requests were in flight at the target too.
     Shared,
-    /// It was alone there.
+    /// It was the only request at the target.
     Alone,
-    /// It has completed since, so that something else was the cause.
-    Absolved,
+    /// The request has completed since, so the crash had another cause.
+    Cleared,
 }
 
-/// Requests, by fingerprint, that were in flight when targets died.
+/// Tracks requests, by fingerprint, that were in flight when targets crashed.
 ///
-/// Guards against a request that crashes each target that runs it and is sent again. It shows as
-/// a broken or silent attempt followed by a new run of the target, or none. Deaths are counted by
-/// the target's incarnation, so that the same death told twice, or by two daemons, counts once.
+/// Guards against a request that crashes every target that runs it and is retried. It shows as a
+/// broken or silent attempt, followed by a new run of the target or by none. Crashes are keyed by the
+/// target's incarnation, so a crash that is reported twice, or by two daemons, counts once.
 #[derive(Debug, Default)]
 pub struct PoisonBook {
-    cases: HashMap<u64, Case>,
-    casualties: Casualties,
+    histories: HashMap<u64, CrashHistory>,
+    crashed_targets: CrashedTargets,
 }
 
 #[derive(Debug)]
-struct Case {
-    deaths: BTreeMap<Incarnation, Death>,
-    until: MonoMs,
+struct CrashHistory {
+    crashes: BTreeMap<Incarnation, Crash>,
+    expires_at: MonoMs,
 }
 
-/// What became of a run of a target.
+/// Status of a run of a target, as far as this daemon knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
-    /// It is dead, or nothing reaches it.
+    /// It was replaced by another run, or is unreachable.
     Dead,
-    /// It reported, last at this moment.
+    /// It reported, most recently at this time.
     Alive(MonoMs),
-    /// Nothing was heard yet.
+    /// The target isn't known here.
     Unsure,
 }
 
 impl PoisonBook {
-    /// Notes that an attempt at a run of a target broke off with `in_flight` there, and whether
-    /// `others` had work there.
+    /// Records that an attempt broke off at a run of a target. `in_flight` are the fingerprints of this
+    /// daemon's requests there; `others` tells whether other daemons had work there.
     pub fn broke_off(
         &mut self,
         now: MonoMs,
@@ -83,77 +83,79 @@
         in_flight: impl Iterator<Item = u64>,
         others: bool,
     ) {
-        self.casualties
-            .note(now, target, incarnation, in_flight, others);
+        self.crashed_targets
+            .record(now, target, incarnation, in_flight, others);
     }
 
-    /// Decides about targets where attempts broke off. Returns what peers are to be told.
+    /// Resolves targets where attempts broke off: records a crash for each one that died. Returns the
+    /// news to send to peers.
     pub fn settle(
         &mut self,
         now: MonoMs,
         fate: impl Fn(&TargetName, Incarnation) -> Fate,
     ) -> Vec<PoisonNews> {
         let mut news = Vec::new();
-        for dead in self.casualties.settle(now, fate) {
-            let death = if dead.was_alone() {
-                Death::Alone
+        for dead in self.crashed_targets.resolve(now, fate) {
+            let crash = if dead.was_alone() {
+                Crash::Alone
             } else {
-                Death::Shared
+                Crash::Shared
             };
             for fingerprint in dead.in_flight {
-                self.note(now + KEEP_MS, fingerprint, dead.incarnation, death);
-                news.extend(self.news_of(now, fingerprint));
+                self.record_crash(now + SUSPICION_TTL_MS, fingerprint, dead.incarnation, crash);
+                news.extend(self.news_for(now, fingerprint));
             }
         }
         news
     }
 
-    /// Notes that a request completed: what it was suspected of had another cause. Returns what
-    /// peers are to be told.
+    /// Clears a request that completed: the crashes it was suspected of had another cause. Returns the
+    /// news to send to peers.
     pub fn completed(&mut self, fingerprint: u64) -> Option<PoisonNews> {
-        self.casualties.absolve(fingerprint);
-        let case = self.cases.get_mut(&fingerprint)?;
-        let absolved = case.absolve(|_| true);
-        (!absolved.is_empty()).then_some(PoisonNews {
+        self.crashed_targets.clear(fingerprint);
+        let history = self.histories.get_mut(&fingerprint)?;
+        let cleared = history.clear(|_| true);
+        (!cleared.is_empty()).then_some(PoisonNews {
             fingerprint,
-            deaths: absolved,
+            deaths: cleared,
             keep_ms: 0,
             alone: Vec::new(),
         })
     }
 
-    /// Takes in what a peer tells: deaths, or with `keep_ms` 0 that they had another cause.
-    /// Returns whether it was news.
+    /// Merges news from a peer: crashes, or, if `keep_ms` is 0, that those crashes had another cause.
+    /// Returns whether anything changed.
     pub fn merge(&mut self, now: MonoMs, news: &PoisonNews) -> bool {
         if news.keep_ms == 0 {
-            let case = self.cases.get_mut(&news.fingerprint);
-            let absolved = case.map(|case| case.absolve(|run| news.deaths.contains(&run)));
-            return absolved.is_some_and(|absolved| !absolved.is_empty());
+            let history = self.histories.get_mut(&news.fingerprint);
+            let cleared = history.map(|history| history.clear(|run| news.deaths.contains(&run)));
+            return cleared.is_some_and(|cleared| !cleared.is_empty());
         }
-        let until = now + news.keep_ms.min(KEEP_MS);
+        let expires_at = now + news.keep_ms.min(SUSPICION_TTL_MS);
         let mut fresh = false;
         for run in &news.deaths {
-            let death = if news.alone.contains(run) {
-                Death::Alone
+            let crash = if news.alone.contains(run) {
+                Crash::Alone
             } else {
-                Death::Shared
+                Crash::Shared
             };
-            fresh |= self.note(until, news.fingerprint, *run, death);
+            fresh |= self.record_crash(expires_at, news.fingerprint, *run, crash);
         }
         fresh
     }
 
-    /// What is thought of a request, where `alone_limit` deaths alone make it poison.
+    /// Returns the suspicion against a request. `alone_limit` crashes with it alone at the target make
+    /// it poison.
     pub fn standing(&self, now: MonoMs, fingerprint: u64, alone_limit: u32) -> Standing {
-        let (open, open_alone) = self.casualties.count(fingerprint);
-        let case = self.cases.get(&fingerprint);
-        let case = case.filter(|case| case.until > now);
-        let (all, alone) = case.map_or((0, 0), Case::count);
-        let limit = (alone_limit.max(1) as usize).min(MAX_TARGETS);
-        let over = |all: usize, alone: usize| all >= MAX_TARGETS || alone >= limit;
-        match case {
-            Some(case) if over(all, alone) => Standing::Poison {
-                keep_ms: case.until.since(now),
+        let (open, open_alone) = self.crashed_targets.count(fingerprint);
+        let history = self.histories.get(&fingerprint);
+        let history = history.filter(|history| history.expires_at > now);
+        let (all, alone) = history.map_or((0, 0), CrashHistory::count);
+        let limit = (alone_limit.max(1) as usize).min(MAX_CRASHED_TARGETS);
+        let over = |all: usize, alone: usize| all >= MAX_CRASHED_TARGETS || alone >= limit;
+        match history {
+            Some(history) if over(all, alone) => Standing::Poison {
+                keep_ms: history.expires_at.since(now),
             },
             _ if over(all + open, alone + open_alone) => Standing::InDoubt,
             _ if all + open > 0 => Standing::Suspect,
@@ -161,79 +163,93 @@
         }
     }
 
-    /// Whether there is no suspicion at all.
+    /// Returns whether no request is suspected.
     pub fn is_empty(&self) -> bool {
-        self.cases.is_empty() && self.casualties.is_empty()
+        self.histories.is_empty() && self.crashed_targets.is_empty()
     }
 
-    /// Forgets what is over.
+    /// Evicts suspicions whose retention time has passed.
     pub fn forget_old(&mut self, now: MonoMs) {
-        self.cases.retain(|_, case| case.until > now);
+        self.histories.retain(|_, history| history.expires_at > now);
     }
 
-    fn note(&mut self, until: MonoMs, fingerprint: u64, run: Incarnation, death: Death) -> bool {
-        if !self.cases.contains_key(&fingerprint) {
-            self.make_room();
+    fn record_crash(
+        &mut self,
+        expires_at: MonoMs,
+        fingerprint: u64,
+        run: Incarnation,
+        crash: Crash,
+    ) -> bool {
+        if !self.histories.contains_key(&fingerprint) {
+            self.evict_weakest();
         }
-        let case = self.cases.entry(fingerprint).or_insert(Case {
-            deaths: BTreeMap::new(),
-            until,
+        let history = self.histories.entry(fingerprint).or_insert(CrashHistory {
+            crashes: BTreeMap::new(),
+            expires_at,
         });
-        if case.deaths.contains_key(&run) || case.deaths.len() >= MAX_DEATHS {
+        if history.crashes.contains_key(&run) || history.crashes.len() >= MAX_CRASHES_PER_SUSPECT {
             return false;
         }
-        case.deaths.insert(run, death);
-        case.until = case.until.max(until);
+        history.crashes.insert(run, crash);
+        history.expires_at = history.expires_at.max(expires_at);
         true
     }
 
-    /// Makes room for one case: the one with the fewest deaths goes, then the oldest.
-    fn make_room(&mut self) {
-        if self.cases.len() < MAX_CASES {
+    /// Evicts one history if the table is full: the one with the fewest crashes, the oldest among equals.
+    fn evict_weakest(&mut self) {
+        if self.histories.len() < MAX_SUSPECTS {
             return;
         }
-        let least = self
-            .cases
+        let weakest = self
+            .histories
             .iter()
-            .min_by_key(|(fingerprint, case)| (case.count().0, case.until, **fingerprint))
+            .min_by_key(|(fingerprint, history)| {
+                (history.count().0, history.expires_at, **fingerprint)
+            })
             .map(|(fingerprint, _)| *fingerprint);
-        if let Some(fingerprint) = least {
-            self.cases.remove(&fingerprint);
+        if let Some(fingerprint) = weakest {
+            self.histories.remove(&fingerprint);
         }
     }
 
-    fn news_of(&self, now: MonoMs, fingerprint: u64) -> Option<PoisonNews> {
-        let case = self.cases.get(&fingerprint)?;
+    fn news_for(&self, now: MonoMs, fingerprint: u64) -> Option<PoisonNews> {
+        let history = self.histories.get(&fingerprint)?;
         Some(PoisonNews {
             fingerprint,
-            deaths: case.runs(|death| death != Death::Absolved),
-            keep_ms: case.until.since(now),
-            alone: case.runs(|death| death == Death::Alone),
+            deaths: history.runs_where(|crash| crash != Crash::Cleared),
+            keep_ms: history.expires_at.since(now),
+            alone: history.runs_where(|crash| crash == Crash::Alone),
         })
     }
 }
 
-impl Case {
-    fn runs(&self, of: impl Fn(Death) -> bool) -> Vec<Incarnation> {
-        let runs = self.deaths.iter().filter(|(_, death)| of(**death));
+impl CrashHistory {
+    fn runs_where(&self, matches: impl Fn(Crash) -> bool) -> Vec<Incarnation> {
+        let runs = self.crashes.iter().filter(|(_, crash)| matches(**crash));
         runs.map(|(run, _)| *run).collect()
     }
 
-    /// Deaths that count, and those of them alone.
+    /// Number of crashes that weren't cleared, and of those with the request alone at the target.
     fn count(&self) -> (usize, usize) {
-        let all = self.deaths.values().filter(|d| **d != Death::Absolved);
-        let alone = self.deaths.values().filter(|d| **d == Death::Alone);
+        let all = self
+            .crashes
+            .values()
+            .filter(|crash| **crash != Crash::Cleared);
+        let alone = self
+            .crashes
+            .values()
+            .filter(|crash| **crash == Crash::Alone);
         (all.count(), alone.count())
     }
 
-    fn absolve(&mut self, of: impl Fn(Incarnation) -> bool) -> Vec<Incarnation> {
-        let mut absolved = Vec::new();
-        for (run, death) in &mut self.deaths {
-            if of(*run) && *death != Death::Absolved {
-                *death = Death::Absolved;
-                absolved.push(*run);
+    fn clear(&mut self, matches: impl Fn(Incarnation) -> bool) -> Vec<Incarnation> {
+        let mut cleared = Vec::new();
+        for (run, crash) in &mut self.crashes {
+            if matches(*run) && *crash != Crash::Cleared {
+                *crash = Crash::Cleared;
+                cleared.push(*run);
             }
         }
-        absolved
+        cleared
     }
 }
--- a/crates/core/src/requests/refresh.rs
+++ b/crates/core/src/requests/refresh.rs
@@ -6,38 +6,38 @@
     whinlatch_wire::ids::TargetName,
 };
 
-/// Longest time that a refresh waits for targets and peers that don't answer, in ms.
-const LONGEST_MS: u64 = 1_000;
+/// Time after which a refresh stops waiting for targets and peers that don't answer, in ms.
+const REFRESH_TIMEOUT_MS: u64 = 1_000;
 
-/// A view that went stale in a pause of the process, until it is fresh again.
+/// Refresh of this daemon's view after a pause of the process.
 ///
-/// Guards against a process that was frozen and wakes up acting on what it knew before: it would
-/// send work to targets that have left meanwhile. It shows as a gap between events. Nothing queued
-/// is dispatched until each target has answered a read asked for after the wake, and a peer was
-/// heard from; then what didn't answer is held to be gone.
+/// Guards against a process that its host paused and that resumes with stale state: it would send work
+/// to targets that have left in the meantime. The pause shows as a gap between events. No queued
+/// request is dispatched until each target has answered a read sent after the process resumed, and a
+/// peer has sent a message; targets that haven't answered by then are considered gone.
 #[derive(Debug, Clone, Copy)]
 pub struct Refresh {
     since: MonoMs,
 }
 
 impl Refresh {
-    /// Begins at the wake.
+    /// Starts a refresh at the moment when the process resumed.
     pub fn new(now: MonoMs) -> Self {
         Self { since: now }
     }
 
-    /// When the process woke.
+    /// Time when the process resumed.
     pub fn since(self) -> MonoMs {
         self.since
     }
 
-    /// Whether the view is fresh again.
+    /// Returns whether the view is up to date again, or the refresh has timed out.
     pub fn is_over(self, now: MonoMs, targets: &Targets, members: &Members) -> bool {
-        let heard = targets.iter().all(|(_, state)| self.heard_from(state));
-        (heard && self.heard_a_peer(members)) || now.since(self.since) >= LONGEST_MS
+        let answered = targets.iter().all(|(_, state)| self.has_answered(state));
+        (answered && self.has_peer_contact(members)) || now.since(self.since) >= REFRESH_TIMEOUT_MS
     }
 
-    /// Targets that didn't answer since the wake.
+    /// Targets that haven't reported since the process resumed.
     pub fn unheard(self, targets: &Targets) -> Vec<TargetName> {
         targets
             .iter()
@@ -46,12 +46,14 @@
             .collect()
     }
 
-    fn heard_from(self, state: &TargetState) -> bool {
+    /// Whether the target has answered, or failed to answer, a read sent since the process resumed.
+    fn has_answered(self, state: &TargetState) -> bool {
         let asked = state.asked.is_some_and(|asked| asked >= self.since);
         asked && (state.reported >= self.since || state.misses > 0)
     }
 
-    fn heard_a_peer(self, members: &Members) -> bool {
+    /// Whether a linked peer has sent a message since the process resumed, or none is linked.
+    fn has_peer_contact(self, members: &Members) -> bool {
         let mut linked = members.iter().filter(|member| member.linked).peekable();
         linked.peek().is_none() || linked.any(|member| member.heard >= self.since)
     }
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -9,59 +9,59 @@
 
 /// A request that has no final answer yet.
 ///
-/// `Queued` and `Held` lead to `InFlight`. An attempt that ends without an answer leads back to
-/// `Queued` or to the end of the request. `Attached` and `Forwarded` lead to the end only.
+/// A `Queued` or `Held` request becomes `InFlight`. When an attempt ends without an answer, the
+/// request is `Queued` again or ends. An `Attached` or `Forwarded` request can only end.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What was asked for.
+    /// The request as submitted by its caller.
     pub submission: Submission,
-    /// When it was taken in.
+    /// When this daemon accepted it.
     pub accepted: MonoMs,
-    /// When the whole answer is due.
+    /// Time by which the caller must have the complete answer.
     pub deadline: MonoMs,
     /// Whether it may be run more than once.
     pub idempotent: bool,
-    /// The route that allowed it when it was taken in.
+    /// Route that allowed the request when it was accepted; later changes don't apply to it.
     pub route: RouteRecord,
-    /// Targets that were tried, in order.
+    /// Targets of the attempts so far, in order.
     pub tried: Vec<TargetName>,
     pub(super) phase: Phase,
     pub(super) ran_before: bool,
     pub(super) caller_gone: bool,
 }
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Debug, Clone)]
 pub enum Phase {
-    /// Nothing is in flight.
+    /// No attempt is in flight.
     Queued,
-    /// Nothing is in flight, and it is routed again as soon as what it waits for has come.
+    /// No attempt is in flight; the request is routed again once its reason to wait is gone.
     Held,
-    /// An attempt is in flight. This is entered before the first byte is written.
+    /// An attempt is in flight. The phase starts before the first byte is written.
     InFlight(Flight),
-    /// Waits for the outcome of the request that runs under its ticket.
+    /// Waits for the outcome of the request that is running under the same ticket.
     Attached,
-    /// Passed on to the home of its ticket.
+    /// Forwarded to the daemon that issued its ticket.
     Forwarded,
 }
 
 /// An attempt in flight.
 #[derive(Debug, Clone)]
 pub struct Flight {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// The target.
+    /// Target that runs it.
     pub target: TargetName,
-    /// Its run.
+    /// Run of the target that the attempt was sent to.
     pub incarnation: Incarnation,
-    /// The other targets of its group, which read with it.
+    /// Other engines of its group, which read parts of the prompt; empty for a single engine.
     pub helpers: Vec<TargetName>,
-    /// Whether the first chunk came.
+    /// Whether the first chunk of the answer has arrived.
     pub first_chunk: bool,
 }
 
 impl Request {
-    /// A request taken in at `now`.
+    /// Creates a queued request that is accepted at `now`.
     pub fn new(now: MonoMs, submission: Submission, idempotent: bool, route: RouteRecord) -> Self {
         Self {
             accepted: now,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Where it stands.
+    /// Current state of the request.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
@@ -89,10 +89,10 @@
         }
     }
 
-    /// Whether some target may have run it: an attempt is in flight, or an earlier one ended
-    /// otherwise than by the target's own refusal or before its first byte. A later refusal says
-    /// nothing of an earlier attempt. What another daemon or an earlier request of the same ticket
-    /// did isn't known here, so those phases count as run.
+    /// Returns whether a target may have run the request: an attempt is in flight, or an earlier one
+    /// ended in another way than a refusal by its target or before its first byte. A later refusal
+    /// proves nothing about an earlier attempt. Whether another daemon, or an earlier request under the
+    /// same ticket, ran it isn't known here, so `Forwarded` and `Attached` count as run.
     pub fn may_have_run(&self) -> bool {
         match self.phase {
             Phase::Queued | Phase::Held => self.ran_before,
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Whether an attempt may be dispatched now. Guards against a second run of what may not be
-    /// repeated, whatever path asks for the dispatch.
+    /// Returns whether an attempt may be dispatched now. Guards against a second run of a request that
+    /// isn't idempotent, on every code path that dispatches.
     pub fn may_dispatch(&self) -> bool {
         match self.phase {
             Phase::Queued | Phase::Held => self.idempotent || !self.ran_before,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Whether its caller went away while it goes on for those who ask again.
+    /// Returns whether the caller disconnected while the run goes on for callers that retry.
     pub fn caller_gone(&self) -> bool {
         self.caller_gone
     }
--- a/crates/core/src/requests/request_table.rs
+++ b/crates/core/src/requests/request_table.rs
@@ -5,7 +5,7 @@
     whinlatch_wire::ids::{AttemptId, RequestId, TargetName},
 };
 
-/// The requests that this daemon answers for.
+/// Requests accepted by this daemon that have no final answer yet.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     by_id: HashMap<RequestId, Request>,
@@ -15,26 +15,27 @@
 }
 
 impl RequestTable {
-    /// Takes in a request.
+    /// Adds a request.
     pub fn insert(&mut self, request: Request) {
         let id = request.submission.request;
         self.by_deadline.insert((request.deadline, id));
         self.by_id.insert(id, request);
     }
 
-    /// A request by id.
+    /// Returns a request; `None` once it has ended.
     pub fn get(&self, request: RequestId) -> Option<&Request> {
         self.by_id.get(&request)
     }
 
-    /// The request of an attempt in flight; `None` for the late events of one that is over.
+    /// Returns the request of an attempt in flight; `None` once the attempt has ended, as for its late
+    /// events.
     pub fn of_attempt(&self, attempt: AttemptId) -> Option<RequestId> {
         self.by_attempt.get(&attempt).copied()
     }
 
-    /// Marks a request as dispatched. This comes before the first byte is written, so that
-    /// `not_run` is never said of a request whose bytes may be on their way. Returns `false`, and
-    /// changes nothing, if no attempt may be dispatched.
+    /// Marks a request as dispatched. Called before the first byte is written, so that `not_run` is
+    /// never reported for a request whose bytes may already be under way. Returns `false`, and changes
+    /// nothing, if no attempt may be dispatched.
     pub fn dispatched(&mut self, request: RequestId, flight: Flight) -> bool {
         let Some(entry) = self.by_id.get_mut(&request) else {
             return false;
@@ -48,21 +49,21 @@
         true
     }
 
-    /// Notes that the first chunk came.
+    /// Records that the first chunk of the answer arrived.
     pub fn first_chunk(&mut self, request: RequestId) {
         if let Some(Phase::InFlight(flight)) = self.by_id.get_mut(&request).map(|e| &mut e.phase) {
             flight.first_chunk = true;
         }
     }
 
-    /// Ends the attempt in flight.
+    /// Ends the attempt in flight and queues its request. Returns `None` if the attempt isn't in flight.
     pub fn attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd) -> Option<Flight> {
         let request = self.by_attempt.remove(&attempt)?;
         self.by_id.get_mut(&request)?.end_attempt(end)
     }
 
-    /// Keeps a queued request back until [`Self::held`] is routed again. Returns whether it was
-    /// not kept back before.
+    /// Holds a queued request until the requests of [`Self::held`] are routed again. Returns whether it
+    /// wasn't held before.
     pub fn hold(&mut self, request: RequestId) -> bool {
         match self.by_id.get_mut(&request) {
             Some(entry) if matches!(entry.phase, Phase::Queued) => {
@@ -73,31 +74,31 @@
         }
     }
 
-    /// Requests that are kept back, in a fixed order.
+    /// Held requests, ordered by id.
     pub fn held(&self) -> Vec<RequestId> {
         self.held.iter().copied().collect()
     }
 
-    /// Lets a request wait for the one that runs under its ticket.
+    /// Adds a request that waits for the one running under its ticket.
     pub fn attach(&mut self, mut request: Request) {
         request.phase = Phase::Attached;
         self.insert(request);
     }
 
-    /// Lets a request wait for the answer of its ticket's home.
+    /// Adds a request that waits for the answer of the daemon that issued its ticket.
     pub fn forward(&mut self, mut request: Request) {
         request.phase = Phase::Forwarded;
         self.insert(request);
     }
 
-    /// Notes that the caller went away though the request goes on.
+    /// Records that the caller disconnected although the request goes on.
     pub fn caller_gone(&mut self, request: RequestId) {
         if let Some(entry) = self.by_id.get_mut(&request) {
             entry.caller_gone = true;
         }
     }
 
-    /// Ends a request.
+    /// Removes a request that ends, along with its attempt in flight.
     pub fn remove(&mut self, request: RequestId) -> Option<Request> {
         let entry = self.by_id.remove(&request)?;
         self.by_deadline.remove(&(entry.deadline, request));
@@ -117,7 +118,7 @@
             .collect()
     }
 
-    /// The next deadline.
+    /// Earliest deadline of all requests; `None` if there are none.
     pub fn next_deadline(&self) -> Option<MonoMs> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
@@ -135,12 +136,12 @@
             .filter(move |entry| entry.flight().is_some_and(|f| f.target == *target))
     }
 
-    /// Requests in flight.
+    /// Number of requests, in all phases.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether nothing is in flight.
+    /// Returns whether the table holds no requests, so that the daemon may stop.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/crates/core/src/requests/ticket_book.rs
+++ b/crates/core/src/requests/ticket_book.rs
@@ -9,20 +9,21 @@
     },
 };
 
-/// How long an ended ticket's outcome is kept, in ms. No deadline is longer.
-const KEEP_ENDED_MS: u64 = 600_000;
-/// How long a ticket that was not used is kept, in ms.
-const KEEP_UNUSED_MS: u64 = 120_000;
-/// Tickets kept for one account.
+/// How long the outcome of an ended ticket is kept, in ms. No deadline is longer.
+const ENDED_RETENTION_MS: u64 = 600_000;
+/// How long an unused ticket is kept, in ms.
+const UNUSED_RETENTION_MS: u64 = 120_000;
+/// Maximum number of tickets of one account.
 const MAX_PER_ACCOUNT: u32 = 5_000;
 
-/// State of a ticket at its home.
+/// State of a ticket at its home, the daemon that issued it.
 ///
-/// `Issued` leads to `InFlight`, and that to `Ended`; or to `Closed` where the outcome is `not_run`.
+/// `Issued` becomes `InFlight`, and then `Ended`, or `Closed` if the outcome is `not_run`. An unused
+/// ticket becomes `Closed` directly.
 ///
-/// `Closed` guards against a run after `not_run` was said: a duplicate of the request may still be on
-/// its way, held up at another daemon, and would run once the caller has been told otherwise. No
-/// request is ever dispatched under a closed ticket; whoever asks again gets a fresh one.
+/// `Closed` guards against a run after `not_run` was reported: a duplicate of the request may be
+/// delayed at another daemon and would run after its caller was told that it didn't. No request is
+/// ever dispatched under a closed ticket; a caller that retries gets a new one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum TicketState {
     Issued,
@@ -34,37 +35,38 @@
     Closed,
 }
 
-/// What a request that names a ticket is to do.
+/// How a request that names a ticket proceeds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// Run: nothing has run under the ticket.
+    /// It runs: nothing has run under the ticket.
     Run,
-    /// Wait for the request that runs.
+    /// It waits for the request that is running under the ticket.
     Wait,
-    /// Take the outcome of the run.
+    /// It gets the outcome of the run.
     Ended(Outcome),
-    /// Ask for a fresh ticket: nothing ran under this one and nothing will.
+    /// It needs a new ticket: nothing ran under this one and nothing will.
     Renew,
-    /// The ticket is for another request of the same account.
+    /// It is refused: the ticket was issued for another request of the same account.
     OtherRequest,
-    /// The ticket was issued by another incarnation or to another account, or is forgotten, or
-    /// never was. These can't be told apart, so that a guess teaches nothing.
+    /// Its outcome is unknown: the ticket was issued by another incarnation or to another account, has
+    /// been evicted, or never existed. The cases look the same to callers, so that guessing ticket
+    /// numbers reveals nothing.
     Unknown,
 }
 
-/// Why no ticket is issued.
+/// Reason for which no ticket is issued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum NoTicket {
-    /// The idempotency key stands for another request.
-    #[error("the idempotency key was used with another request: use a key once")]
+    /// The idempotency key was used with another request.
+    #[error("the idempotency key was used with another request: use a new key for each request")]
     OtherRequest,
-    /// The account holds too many tickets.
-    #[error("the account holds too many tickets here: use those or another entry")]
+    /// The account has as many tickets or idempotency keys as one account may.
+    #[error("the account has too many tickets at this daemon: use those or another entry")]
     TooMany,
 }
 
-/// The tickets that this incarnation issued. Only it may dispatch them: an incarnation never comes
-/// back, so once it is gone no one runs the request again.
+/// Tickets issued by this incarnation. Only this incarnation dispatches requests under them. Since an
+/// incarnation never returns, no request runs again under its tickets once it has ended.
 #[derive(Debug)]
 pub struct TicketBook {
     home: Incarnation,
@@ -86,7 +88,8 @@
 }
 
 impl TicketBook {
-    /// An empty book of a new incarnation; `secret` is drawn at random.
+    /// Creates an empty table for the incarnation `home`. `secret` must be random: it makes ticket
+    /// numbers hard to guess and seeds the hashes of idempotency keys.
     pub fn new(home: Incarnation, secret: u64) -> Self {
         Self {
             home,
@@ -99,10 +102,11 @@
         }
     }
 
-    /// Issues a ticket; the same account and key get the same ticket again, unless it is closed.
+    /// Issues a ticket. The same account and key get the same ticket again, unless it is closed.
     ///
     /// # Errors
-    /// [`NoTicket`] if the key stands for another request, or the account holds too many.
+    /// [`NoTicket`] if the key was used with another request, or the account has too many tickets or
+    /// keys.
     pub fn issue(
         &mut self,
         now: MonoMs,
@@ -112,16 +116,16 @@
     ) -> Result<Ticket, NoTicket> {
         let key = key.map(|key| self.keys.hash_of(account, key));
         if let Some(key) = key {
-            self.renew(key, fingerprint);
+            self.detach_closed_key(key, fingerprint);
         }
         if let Some(known) = key.and_then(|key| self.keys.get(key)) {
             return known.ticket_for(self.home, fingerprint);
         }
-        let held = self.per_account.get(account).copied().unwrap_or(0);
-        if held >= MAX_PER_ACCOUNT || (key.is_some() && self.keys.is_full(account)) {
+        let count = self.per_account.get(account).copied().unwrap_or(0);
+        if count >= MAX_PER_ACCOUNT || (key.is_some() && self.keys.is_full(account)) {
             return Err(NoTicket::TooMany);
         }
-        let number = self.draw_number();
+        let number = self.next_number();
         if let Some(key) = key {
             let known = KeyUse {
                 number,
@@ -138,14 +142,14 @@
             expiry: None,
         };
         self.tickets.insert(number, entry);
-        self.expire_at(number, Some(now + KEEP_UNUSED_MS));
+        self.expire_at(number, Some(now + UNUSED_RETENTION_MS));
         Ok(Ticket {
             home: self.home,
             number,
         })
     }
 
-    /// What a request of `account` that names `ticket` is to do.
+    /// Returns how a request of `account` that names `ticket` proceeds. Changes nothing.
     pub fn claim(&self, ticket: Ticket, account: &AccountName, fingerprint: u64) -> Claim {
         let entry = match self.tickets.get(&ticket.number) {
             Some(entry) if ticket.home == self.home && entry.account == *account => entry,
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Marks a claimed ticket as in flight.
+    /// Marks a ticket as in flight with the request `runner`. It doesn't expire before the run ends.
     pub fn begin(&mut self, ticket: Ticket, runner: RequestId) {
         if let Some(entry) = self.tickets.get_mut(&ticket.number) {
             entry.state = TicketState::InFlight {
@@ -173,21 +177,22 @@
         }
     }
 
-    /// Adds a request to those that wait for the run's outcome.
+    /// Adds a request that waits for the outcome of the run.
     pub fn attach(&mut self, ticket: Ticket, request: RequestId) {
         if let Some(TicketState::InFlight { waiting, .. }) = self.state_mut(ticket) {
             waiting.push(request);
         }
     }
 
-    /// Takes out a request that no longer waits.
+    /// Removes a request that no longer waits.
     pub fn detach(&mut self, ticket: Ticket, request: RequestId) {
         if let Some(TicketState::InFlight { waiting, .. }) = self.state_mut(ticket) {
-            waiting.retain(|waits| *waits != request);
+            waiting.retain(|waiter| *waiter != request);
         }
     }
 
-    /// Ends the run of `runner`. Returns the requests that wait for its outcome.
+    /// Ends the run of the request that `outcome` names, and returns the requests that wait for it.
+    /// Does nothing if the ticket is in flight with another request.
     pub fn end(&mut self, now: MonoMs, ticket: Ticket, outcome: &Outcome) -> Vec<RequestId> {
         let Some(entry) = self.tickets.get_mut(&ticket.number) else {
             return Vec::new();
@@ -202,20 +207,20 @@
             OutcomeKind::NotRun => TicketState::Closed,
             OutcomeKind::Completed | OutcomeKind::Unknown => TicketState::Ended(outcome.clone()),
         };
-        self.expire_at(ticket.number, Some(now + KEEP_ENDED_MS));
+        self.expire_at(ticket.number, Some(now + ENDED_RETENTION_MS));
         waiting
     }
 
-    /// Closes a ticket under which nothing ran, before `not_run` is said of it.
+    /// Closes an unused ticket, before `not_run` is reported for its request.
     pub fn close(&mut self, now: MonoMs, ticket: Ticket) {
         if let Some(state @ TicketState::Issued) = self.state_mut(ticket) {
             *state = TicketState::Closed;
-            self.expire_at(ticket.number, Some(now + KEEP_ENDED_MS));
+            self.expire_at(ticket.number, Some(now + ENDED_RETENTION_MS));
         }
     }
 
-    /// Takes a key off its closed ticket, so that the same request gets a fresh one.
-    fn renew(&mut self, key: u64, fingerprint: u64) {
+    /// Detaches a key from its closed ticket, so that the same request can get a new ticket.
+    fn detach_closed_key(&mut self, key: u64, fingerprint: u64) {
         let Some(known) = self.keys.get(key) else {
             return;
         };
@@ -229,7 +234,7 @@
         }
     }
 
-    /// Forgets tickets that ended or were issued long ago. Returns those that ended.
+    /// Evicts expired tickets. Returns those that had ended, whose kept answers can be dropped.
     pub fn forget_old(&mut self, now: MonoMs) -> Vec<Ticket> {
         let mut ended = Vec::new();
         while let Some((expiry, number)) = self.by_expiry.first().copied()
@@ -245,7 +250,7 @@
                     home: self.home,
                     number,
                 }),
-                // Nothing ran under the key's ticket, and nothing can any more.
+                // Nothing ran under the ticket of the key, and with the ticket gone nothing will.
                 (_, Some(key)) => self.keys.remove(key, &entry.account),
                 (_, None) => {}
             }
@@ -254,9 +259,9 @@
     }
 
     fn release(&mut self, account: &AccountName) {
-        if let Some(held) = self.per_account.get_mut(account) {
-            *held -= 1;
-            if *held == 0 {
+        if let Some(count) = self.per_account.get_mut(account) {
+            *count -= 1;
+            if *count == 0 {
                 self.per_account.remove(account);
             }
         }
@@ -281,15 +286,15 @@
         }
     }
 
-    /// A number that was never drawn before and doesn't follow from the last: a permutation of the
-    /// count of tickets, so that it never comes twice, shifted by a secret.
-    fn draw_number(&mut self) -> u64 {
+    /// Returns a ticket number that is unique and can't be predicted from earlier ones: the ticket
+    /// counter, shifted by the secret and mapped by a permutation.
+    fn next_number(&mut self) -> u64 {
         self.issued += 1;
         permute(self.issued.wrapping_add(self.secret))
     }
 }
 
-/// The finalizer of splitmix64, which maps the 64-bit numbers one to one.
+/// The splitmix64 finalizer, a bijection on 64-bit numbers.
 fn permute(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,15 +1,15 @@
-//! Choice of the target for a request.
+//! Choice of the target for a request: candidates from the records, provider shares, predicted times.
 
 mod ask;
 mod candidates;
-mod free_share;
+mod provider_rotation;
 mod router;
-mod shares;
+mod short_prompt_reserve;
 
 pub use {
     ask::{Ask, NoChoice, Priorities, Weight},
     candidates::{Candidate, Candidates, serves, tokens_of},
-    free_share::FreeShare,
+    provider_rotation::ProviderRotation,
     router::{Choice, Router, Scene, choice},
-    shares::Shares,
+    short_prompt_reserve::ShortPromptReserve,
 };
--- a/crates/core/src/routing/ask.rs
+++ b/crates/core/src/routing/ask.rs
@@ -7,26 +7,26 @@
     },
 };
 
-/// Part of the policy's `long_prompt_tokens` up to which a prompt is light.
-const LIGHT_PART: u64 = 8;
+/// A prompt is light up to the policy's `long_prompt_tokens` divided by this.
+const LIGHT_PROMPT_DIVISOR: u64 = 8;
 
-/// How long a prompt holds up others.
+/// Class of a prompt by how long it delays other prompts at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Weight {
-    /// Not noticeably; held up by all others.
+    /// Doesn't noticeably delay others, but is delayed by all other prompts.
     Light,
-    /// Light prompts notice it.
+    /// Noticeably delays light prompts.
     Medium,
-    /// At least the policy's `long_prompt_tokens`.
+    /// Has at least the policy's `long_prompt_tokens`.
     Long,
 }
 
 impl Weight {
-    /// The weight of a prompt under a policy.
+    /// Returns the weight of a prompt under a policy.
     pub fn of(prompt_tokens: u64, policy: &PolicyRecord) -> Self {
         if prompt_tokens >= policy.long_prompt_tokens {
             Self::Long
-        } else if prompt_tokens > policy.long_prompt_tokens / LIGHT_PART {
+        } else if prompt_tokens > policy.long_prompt_tokens / LIGHT_PROMPT_DIVISOR {
             Self::Medium
         } else {
             Self::Light
@@ -42,8 +42,8 @@
 }
 
 impl Priorities {
-    /// Light prompts go first, since they hold up nobody; whether medium or long ones come next
-    /// follows from the policy's weights.
+    /// Returns the priorities under a policy. Light prompts come first, since they delay no others;
+    /// the policy's weights decide whether medium or long prompts come second.
     pub fn of(policy: &PolicyRecord) -> Self {
         if policy.long_first_token_weight > policy.short_slowdown_weight {
             Self { medium: 6, long: 4 }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The priority of a weight.
+    /// Returns the priority of prompts of a weight.
     pub fn at(self, weight: Weight) -> u8 {
         match weight {
             Weight::Light => 2,
@@ -62,27 +62,27 @@
     }
 }
 
-/// What a target is wanted for.
+/// A request for which a target is to be chosen, with the constraints on the choice.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
-    /// The work.
+    /// Prompt or call to run.
     pub work: &'a Work,
-    /// The route that allows it.
+    /// Route that allows the request; its providers share the requests.
     pub route: &'a RouteRecord,
-    /// Targets that were tried already, or are to be avoided for another reason; none of them is
-    /// chosen if another target exists.
+    /// Targets that were tried already or are to be avoided for another reason. None of them is chosen
+    /// if another target exists.
     pub tried: &'a [TargetName],
-    /// Whether the request may crash its target: one with nothing in flight is chosen if there is
-    /// one.
+    /// Whether the request is suspected of crashing targets: a target with nothing in flight is
+    /// preferred.
     pub alone: bool,
-    /// How long the prompt holds up others.
+    /// Weight of the prompt; light for calls.
     pub weight: Weight,
-    /// Priorities at an engine.
+    /// Priorities of the weights at an engine under the policy in force.
     pub priorities: Priorities,
 }
 
 impl<'a> Ask<'a> {
-    /// Asks for work under a route and the policy in force.
+    /// Creates a request for work under a route, with weight and priorities by the policy in force.
     pub fn new(
         work: &'a Work,
         route: &'a RouteRecord,
@@ -99,13 +99,13 @@
         }
     }
 
-    /// States whether the request may crash its target.
+    /// Sets whether the request should run alone at its target.
     #[must_use]
     pub fn alone(self, alone: bool) -> Self {
         Self { alone, ..self }
     }
 
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens; 0 for calls.
     pub fn prompt_tokens(&self) -> u64 {
         prompt_tokens(self.work)
     }
@@ -118,13 +118,13 @@
     }
 }
 
-/// Why there is no target.
+/// Reason for which no target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum NoChoice {
-    /// None is live.
-    #[error("no live target serves this: check its targets and their records")]
+    /// No live target serves the work.
+    #[error("no live target serves this request: check the targets and their records")]
     NoneLive,
-    /// The prompt is larger than the memory of any one engine and takes a group.
-    #[error("the prompt is larger than the memory of any engine")]
+    /// The prompt is larger than the memory of any single engine and needs a group.
+    #[error("the prompt is larger than the memory of any single engine")]
     TooLong,
 }
--- a/crates/core/src/routing/candidates.rs
+++ b/crates/core/src/routing/candidates.rs
@@ -8,17 +8,17 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A target that serves some work, whether or not it is live.
+/// A target that serves a kind of work according to its record, whether or not it is live.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its place among the targets.
+    /// Index of the target in [`Targets`].
     pub place: usize,
-    /// Tokens of memory that it has.
+    /// Memory of the engine in tokens; `u64::MAX` for plain services.
     pub memory_tokens: u64,
     rank: u64,
 }
 
-/// Work of one kind by one provider.
+/// A model or service at one provider, in one version if the route states one.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Kind {
     served: Served,
@@ -32,8 +32,8 @@
     Service(ServiceName),
 }
 
-/// The targets that serve each kind of work, found once for each state of the records. All daemons
-/// list them in the same order, which is that of a hash of their names.
+/// Cache of the targets that serve each kind of work, rebuilt when targets or their records change. All
+/// daemons list the targets in the same order, by a hash of their names.
 #[derive(Debug, Default)]
 pub struct Candidates {
     epoch: u64,
@@ -41,7 +41,7 @@
 }
 
 impl Candidates {
-    /// The targets of a provider that serve the work.
+    /// Returns the targets of a provider that serve the work, live or not.
     pub fn of(
         &mut self,
         in_force: &InForce,
@@ -61,7 +61,7 @@
         let list = self
             .lists
             .entry(kind)
-            .or_insert_with(|| list(in_force, targets, work, share));
+            .or_insert_with(|| find_candidates(in_force, targets, work, share));
         Arc::clone(list)
     }
 }
@@ -73,7 +73,7 @@
     }
 }
 
-fn list(
+fn find_candidates(
     in_force: &InForce,
     targets: &Targets,
     work: &Work,
@@ -94,7 +94,8 @@
     list.into()
 }
 
-/// Whether a target's record says that it serves the work as a route's share demands.
+/// Returns whether a target serves the work according to its record, in the version that the route's
+/// share requires, if any.
 pub fn serves(record: &TargetRecord, share: &ProviderShare, work: &Work) -> bool {
     match (&record.role, work) {
         (TargetRole::Engine { models, .. }, Work::Prompt { model, adapter, .. }) => {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Tokens of memory that an engine has; `None` for plain services.
+/// Returns the memory of an engine in tokens; `None` for plain services.
 pub fn memory_of(record: &TargetRecord) -> Option<u64> {
     match &record.role {
         TargetRole::Engine { memory_tokens, .. } => Some(*memory_tokens),
@@ -119,7 +120,7 @@
     }
 }
 
-/// Tokens of memory that the work takes until its answer is whole.
+/// Returns the memory that the work needs until its answer is complete, in tokens; 0 for calls.
 pub fn tokens_of(work: &Work) -> u64 {
     match work {
         Work::Prompt {
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,5 +1,8 @@
 use {
-    super::{Ask, Candidate, Candidates, FreeShare, NoChoice, Shares, Weight, tokens_of},
+    super::{
+        Ask, Candidate, Candidates, NoChoice, ProviderRotation, ShortPromptReserve, Weight,
+        tokens_of,
+    },
     crate::{
         fleet::{TargetState, Targets},
         placement::{ChosenGroup, NoGroup, Waiter, choose_group},
@@ -9,53 +12,55 @@
     whinlatch_wire::{ids::TargetName, record::ProviderShare},
 };
 
-/// What a prompt waits beside a heavier one at least, in ms: the rest of the step under way.
-const BESIDE_MS: f64 = 150.0;
-/// What each request at work adds to the wait, in ms.
-const RUNNING_MS: f64 = 2.0;
-/// What a light prompt rather waits than to go to a target for long ones, in ms, where only the first
-/// token of long prompts counts.
+/// Minimum wait of a prompt at an engine that runs a less urgent one, in ms: the rest of its step.
+const CURRENT_STEP_MS: f64 = 150.0;
+/// Wait added for each running request, in ms.
+const WAIT_PER_RUNNING_MS: f64 = 2.0;
+/// Extra wait that a light prompt accepts before it goes to a target for long prompts, in ms, if the
+/// policy only weighs the first token of long prompts.
 const SPILL_LIGHT_MS: f64 = 300.0;
-/// The same for a medium prompt.
+/// Extra wait that a medium prompt accepts before it goes to a target for long prompts, in ms, if the
+/// policy only weighs the first token of long prompts.
 const SPILL_MEDIUM_MS: f64 = 3_000.0;
-/// Choices whose predicted times differ by less than this are held to be equal, in ms.
-const NEAR_MS: f64 = 5.0;
+/// Targets whose predicted times differ from the best by at most this count as equal, in ms.
+const TIE_MARGIN_MS: f64 = 5.0;
 
-/// Puts a target that was tried behind all others, in ms.
-const TRIED_MS: f64 = 1e9;
-/// Puts a target that runs other requests behind idle ones for a request that may crash it, in ms.
-const SHARED_MS: f64 = 1e8;
+/// Penalty that ranks a target that was already tried behind all others, in ms.
+const TRIED_PENALTY_MS: f64 = 1e9;
+/// Penalty that ranks a busy target behind idle ones for a request that may crash it, in ms.
+const SHARED_PENALTY_MS: f64 = 1e8;
 
-/// A target that was chosen.
+/// A chosen target with its predicted times.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
-    /// The target.
+    /// Target to send the attempt to.
     pub target: TargetName,
-    /// Predicted time until its turn comes, in ms.
+    /// Predicted time until the target starts on the prompt, in ms.
     pub wait_ms: f64,
     /// Predicted time to read the prompt, in ms.
     pub read_ms: f64,
 }
 
-/// What a choice rests on beside the request.
+/// State of the daemon on which a choice is based.
 #[derive(Debug, Clone, Copy)]
 pub struct Scene<'a> {
-    /// Now.
+    /// Time of the choice.
     pub now: MonoMs,
-    /// The records in force.
+    /// Records in force.
     pub in_force: &'a InForce,
-    /// The targets.
+    /// Targets with their state and load.
     pub targets: &'a Targets,
-    /// Daemons that are alive, this one among them.
+    /// Number of daemons that are alive, including this one.
     pub daemons: usize,
 }
 
-/// Chooses targets.
+/// Chooses the target of a request by provider share and predicted time.
 #[derive(Debug, Default)]
 pub struct Router {
     candidates: Candidates,
-    free: FreeShare,
-    shares: Shares,
+    reserve: ShortPromptReserve,
+    rotation: ProviderRotation,
+    /// Index in [`Targets`] and predicted time in ms of each usable target of the current choice.
     scores: Vec<(usize, f64)>,
 }
 
@@ -70,25 +75,25 @@
         ask: &Ask<'_>,
         rng: &mut fastrand::Rng,
     ) -> Result<Choice, NoChoice> {
-        let next = self.shares.next(ask.route, ask.weight, rng);
+        let next = self.rotation.next(ask.route, ask.weight, rng);
         let mut too_long = false;
-        for (place_of, share) in in_order(&ask.route.providers, next) {
+        for (provider, share) in in_order(&ask.route.providers, next) {
             let list = self
                 .candidates
                 .of(scene.in_force, scene.targets, ask.work, share);
-            let usable = self.usable(scene, ask, &list, &mut too_long);
+            let usable = self.score_usable(scene, ask, &list, &mut too_long);
             if usable == 0 {
                 continue;
             }
-            let long_zone = usable - self.kept_free(scene, share, usable);
+            let for_long = usable - self.reserved_count(scene, share, usable);
             let spill_ms = spill_ms(scene, ask);
-            for (_, score) in &mut self.scores[..long_zone] {
+            for (_, score) in &mut self.scores[..for_long] {
                 *score += spill_ms;
             }
-            self.shares.used(ask.route, ask.weight, place_of, rng);
-            let place = self.near_best(rng);
-            let state = scene.targets.at(place);
-            let target = scene.targets.name_at(place);
+            self.rotation.charge(ask.route, ask.weight, provider, rng);
+            let index = self.pick_near_best(rng);
+            let state = scene.targets.at(index);
+            let target = scene.targets.name_at(index);
             return Ok(choice(scene.now, state, ask, target, 1));
         }
         Err(if too_long {
@@ -98,7 +103,8 @@
         })
     }
 
-    /// Chooses the engines of a long prompt, of the provider that was drawn for it if they suffice.
+    /// Chooses the engines of a long prompt. Prefers `provider`, the one drawn for the prompt, and takes
+    /// another if it lacks engines.
     ///
     /// # Errors
     /// [`NoGroup`] if no provider has enough engines.
@@ -120,14 +126,15 @@
                 .filter(|candidate| scene.targets.at(candidate.place).takes_work())
                 .copied()
                 .collect();
-            let kept_free = self.kept_free(scene, share, usable.len());
-            let long_zone = &usable[..usable.len() - kept_free];
-            let chosen = choose_group(scene, ask, waiter, long_zone, rng)
+            let reserved = self.reserved_count(scene, share, usable.len());
+            let for_long = &usable[..usable.len() - reserved];
+            let chosen = choose_group(scene, ask, waiter, for_long, rng)
                 .or_else(|_| choose_group(scene, ask, waiter, &usable, rng));
             if chosen.is_ok() {
                 return chosen;
             }
-            // Engines that are away may come back; only if all of them can't hold it is it too long.
+            // Engines that are away may return: the prompt is too long only if all engines together,
+            // live or not, can't hold it.
             let memory: u64 = list.iter().map(|candidate| candidate.memory_tokens).sum();
             if memory >= tokens_of(ask.work) {
                 verdict = Err(NoGroup::NoneLive);
@@ -136,27 +143,30 @@
         verdict
     }
 
-    /// How many of the usable targets of a provider are kept free of long prompts.
-    fn kept_free(&self, scene: &Scene<'_>, share: &ProviderShare, usable: usize) -> usize {
+    /// Number of a provider's usable targets that are reserved for light and medium prompts.
+    fn reserved_count(&self, scene: &Scene<'_>, share: &ProviderShare, usable: usize) -> usize {
         let part = f64::from(share.share_per_mille) / 1_000.0;
         let policy = scene.in_force.policy();
-        self.free.targets(policy, usable, scene.daemons, part)
+        self.reserve.targets(policy, usable, scene.daemons, part)
     }
 
-    /// The provider of a long prompt, counted at once.
+    /// Draws the provider of a long prompt and charges the prompt to it immediately, since its engines
+    /// are chosen later. Returns its index in the route's list.
     pub fn draw_provider(&mut self, ask: &Ask<'_>, rng: &mut fastrand::Rng) -> usize {
-        let next = self.shares.next(ask.route, ask.weight, rng);
-        self.shares.used(ask.route, ask.weight, next, rng);
+        let next = self.rotation.next(ask.route, ask.weight, rng);
+        self.rotation.charge(ask.route, ask.weight, next, rng);
         next
     }
 
-    /// Notes a light or medium prompt that is sent, which the share of free targets follows.
+    /// Records a light or medium prompt that was sent. The number of targets reserved for such prompts
+    /// depends on it.
     pub fn note_small(&mut self, now: MonoMs, read_ms: f64) {
-        self.free.note(now, read_ms);
+        self.reserve.record(now, read_ms);
     }
 
-    /// Scores the targets that can take the work now. Those that were tried come last of all.
-    fn usable(
+    /// Fills [`Self::scores`] with the targets that can take the work now, and returns their number.
+    /// Targets that were tried score worst. Sets `too_long` if the prompt exceeds a target's memory.
+    fn score_usable(
         &mut self,
         scene: &Scene<'_>,
         ask: &Ask<'_>,
@@ -184,27 +194,29 @@
         self.scores.len()
     }
 
-    /// One of the best at random, so that daemons that choose at once don't all choose the same.
-    fn near_best(&mut self, rng: &mut fastrand::Rng) -> usize {
+    /// Picks one of the best targets at random, so that daemons that choose at the same time don't all
+    /// choose the same one. Returns its index in [`Targets`].
+    fn pick_near_best(&mut self, rng: &mut fastrand::Rng) -> usize {
         let best = self.scores.iter().map(|(_, score)| *score);
-        let limit = best.fold(f64::INFINITY, f64::min) + NEAR_MS;
+        let limit = best.fold(f64::INFINITY, f64::min) + TIE_MARGIN_MS;
         let near = |(_, score): &&(usize, f64)| *score <= limit;
         let count = self.scores.iter().filter(near).count();
         let pick = rng.usize(0..count.max(1));
         let chosen = self.scores.iter().filter(near).nth(pick);
-        chosen.map_or(self.scores[0].0, |(place, _)| *place)
+        chosen.map_or(self.scores[0].0, |(index, _)| *index)
     }
 }
 
-/// What keeps a target back whatever its load: that it was tried, or that a request that may crash
-/// it would take others along.
+/// Penalty of a target independent of its load: because it was tried, or because a request that may
+/// crash it would fail the other requests there too.
 fn penalty_ms(tried: bool, shared: bool) -> f64 {
-    let for_tried = if tried { TRIED_MS } else { 0.0 };
-    let for_shared = if shared { SHARED_MS } else { 0.0 };
+    let for_tried = if tried { TRIED_PENALTY_MS } else { 0.0 };
+    let for_shared = if shared { SHARED_PENALTY_MS } else { 0.0 };
     for_tried + for_shared
 }
 
-/// What to expect of a target for a prompt that `engines` read together.
+/// Returns the choice of a target with its predicted times, for a prompt that `engines` engines read
+/// together.
 pub fn choice(
     now: MonoMs,
     state: &TargetState,
@@ -219,11 +231,12 @@
     }
 }
 
-/// Predicted time until a prompt's turn comes, in ms: after those that are as urgent or more, and
-/// after the step under way of one that is less. Where there is no memory for it, it waits for all.
+/// Predicted time until a target starts on a prompt, in ms. The prompt waits for those that are at
+/// least as urgent, and for the current step of a less urgent one. If the target lacks memory for it,
+/// it waits for all prompts.
 fn wait_ms(now: MonoMs, state: &TargetState, ask: &Ask<'_>) -> f64 {
     let left = state.load.left(now);
-    let running_ms = f64::from(state.load.running()) * RUNNING_MS;
+    let running_ms = f64::from(state.load.running()) * WAIT_PER_RUNNING_MS;
     let parts = [
         (Weight::Light, left.light_ms),
         (Weight::Medium, left.medium_ms),
@@ -238,11 +251,16 @@
         .filter(|(w, _)| waits_for(*w))
         .map(|(_, ms)| ms)
         .sum();
-    let beside = parts.iter().any(|(w, ms)| !waits_for(*w) && *ms > 0.0);
-    running_ms + before_ms + if beside { BESIDE_MS } else { 0.0 }
+    let runs_less_urgent = parts.iter().any(|(w, ms)| !waits_for(*w) && *ms > 0.0);
+    let step_ms = if runs_less_urgent {
+        CURRENT_STEP_MS
+    } else {
+        0.0
+    };
+    running_ms + before_ms + step_ms
 }
 
-/// What a light or medium prompt rather waits than to go to a target for long prompts, in ms.
+/// Extra wait that a light or medium prompt accepts before it goes to a target for long prompts, in ms.
 fn spill_ms(scene: &Scene<'_>, ask: &Ask<'_>) -> f64 {
     let policy = scene.in_force.policy();
     let weights = policy.long_first_token_weight + policy.short_slowdown_weight;
@@ -258,7 +276,7 @@
     state.cost.read_ms(0, ask.prompt_tokens(), 1)
 }
 
-/// The provider at `first`, then the others in the order of the record.
+/// Iterates over the provider at index `first`, then over the others in the order of the record.
 fn in_order(
     shares: &[ProviderShare],
     first: usize,
@@ -266,7 +284,7 @@
     let others = shares
         .iter()
         .enumerate()
-        .filter(move |(place, _)| *place != first);
+        .filter(move |(index, _)| *index != first);
     shares
         .get(first)
         .map(|share| (first, share))
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,11 +1,12 @@
 use std::{fmt, ops::Add};
 
-/// A moment on the process's monotonic clock, in ms since some start.
+/// A point in time on the process's monotonic clock, in ms since an arbitrary start. Only comparable
+/// within one process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MonoMs(pub u64);
 
 impl MonoMs {
-    /// Time from `earlier` to here in ms, 0 if `earlier` is later.
+    /// Returns the time elapsed since `earlier` in ms; 0 if `earlier` is later than this.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
