--- a/crates/core/tests/orders_engines.rs
+++ b/crates/core/tests/orders_engines.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: what the records ask for, from one sender at a time, and safe from two.
+//! Orders to engines: they reach the state that the records require, also if two daemons send orders.
 
 mod requests_fixture;
 
@@ -19,8 +19,8 @@
 
 /// Time that a fake engine takes to load, in ms.
 const LOAD_MS: u64 = 2_000;
-/// An engine that was changed by a late order is right again after this, in ms.
-const CORRECTED_MS: u64 = 2_000 + 2 * LOAD_MS;
+/// Time within which the effect of an outdated order is corrected, in ms.
+const CORRECTION_MS: u64 = 2_000 + 2 * LOAD_MS;
 
 fn served(version: u32) -> Vec<ServedModel> {
     vec![ServedModel {
@@ -30,10 +30,10 @@
     }]
 }
 
-/// An engine that ignores fences, as some do.
+/// A fake engine that ignores fences, as some engines do.
 struct Engine {
     state: EngineState,
-    loads: Option<(u64, Vec<ServedModel>)>,
+    loading: Option<(u64, Vec<ServedModel>)>,
 }
 
 impl Engine {
@@ -47,12 +47,12 @@
         }
         self.state.busy = true;
         self.state.orders_begun += 1;
-        self.loads = Some((now + LOAD_MS, order.models.clone()));
+        self.loading = Some((now + LOAD_MS, order.models.clone()));
         OrderVerdict::Begun
     }
 
-    fn work(&mut self, now: u64) {
-        if let Some((_, models)) = self.loads.take_if(|(until, _)| *until <= now) {
+    fn finish_load(&mut self, now: u64) {
+        if let Some((_, models)) = self.loading.take_if(|(until, _)| *until <= now) {
             self.state.models = models;
             self.state.busy = false;
         }
@@ -74,13 +74,19 @@
     daemons: Vec<Bench>,
     engines: BTreeMap<String, Engine>,
     orders: Vec<(String, Order)>,
-    most_loading: usize,
+    max_loading: usize,
 }
 
 fn fleet(daemons: u128) -> Fleet {
     let engines = ENGINES.iter().map(|name| {
         let state = engine_state(name);
-        ((*name).to_owned(), Engine { state, loads: None })
+        (
+            (*name).to_owned(),
+            Engine {
+                state,
+                loading: None,
+            },
+        )
     });
     let daemons = (0xA..0xA + daemons).map(|own| {
         let mut bench = Bench::empty(Incarnation(own));
@@ -94,30 +100,31 @@
         daemons: daemons.collect(),
         engines: engines.collect(),
         orders: Vec::new(),
-        most_loading: 0,
+        max_loading: 0,
     }
 }
 
 impl Fleet {
-    fn pass(&mut self, ms: u64) {
+    /// Advances all daemons and engines by `ms` in steps of 50 ms.
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 50 {
             for index in 0..self.daemons.len() {
                 self.daemons[index].now += 50;
                 self.daemons[index].report_all();
-                self.keep_links(index);
+                self.deliver_heartbeats(index);
                 let actions = self.daemons[index].event(Event::Tick);
                 self.carry_out(index, &actions);
             }
             let now = self.daemons[0].now;
             self.engines
                 .values_mut()
-                .for_each(|engine| engine.work(now));
+                .for_each(|engine| engine.finish_load(now));
             let loading = self.engines.values().filter(|e| e.state.busy).count();
-            self.most_loading = self.most_loading.max(loading);
+            self.max_loading = self.max_loading.max(loading);
         }
     }
 
-    fn keep_links(&mut self, index: usize) {
+    fn deliver_heartbeats(&mut self, index: usize) {
         let count = self.daemons.len() as u128;
         for peer in (0xA..0xA + count).filter(|peer| *peer != 0xA + index as u128) {
             self.daemons[index].news(Incarnation(peer), News::default());
@@ -133,7 +140,7 @@
             let event = match call {
                 TargetCall::State => TargetEvent::State(engine.state.clone()),
                 TargetCall::Order { order, send_before } => {
-                    assert!(send_before.0 > self.daemons[index].now, "sent though stale");
+                    assert!(send_before.0 > self.daemons[index].now, "sent too late");
                     self.orders.push((target.clone(), order.clone()));
                     TargetEvent::Ordered(engine.order(now, &order))
                 }
@@ -152,10 +159,10 @@
         self.daemons[index].publish_page(page.collect());
     }
 
-    /// Each of two daemons holds the other to be dead.
+    /// Makes each of two daemons consider the other dead.
     fn split(&mut self) {
         for (daemon, other) in self.daemons.iter_mut().zip([0xB, 0xA]) {
-            daemon.tell_member(Incarnation(0xC), Incarnation(other), MemberState::Dead);
+            daemon.member_news(Incarnation(0xC), Incarnation(other), MemberState::Dead);
         }
     }
 
@@ -168,15 +175,16 @@
     }
 }
 
-/// Operators publish version 2 and the engines go on serving version 1: nobody tells them.
+/// Guards against engines that keep serving version 1 after operators published version 2, because no
+/// daemon sends them an order.
 #[test]
-fn engines_reach_what_the_records_ask_for_with_one_order_each() {
+fn engines_reach_the_state_of_the_records_with_one_order_each() {
     let mut fleet = fleet(3);
     for index in 0..3 {
         fleet.publish(index, 2, 100);
     }
 
-    fleet.pass(30_000);
+    fleet.advance(30_000);
 
     assert_eq!(fleet.versions(), [2; 4]);
     assert_eq!(fleet.orders.len(), ENGINES.len());
@@ -189,22 +197,22 @@
 }
 
 #[test]
-fn an_engine_that_has_what_it_should_gets_no_order() {
+fn an_engine_in_the_desired_state_gets_no_order() {
     let mut fleet = fleet(2);
 
-    fleet.pass(10_000);
+    fleet.advance(10_000);
 
     assert!(fleet.orders.is_empty());
 }
 
-/// An engine serves the old version for good. A daemon that was frozen sends its old order late,
-/// and the engine ignores fences.
+/// Guards against an engine that keeps serving an old version: a daemon whose process was paused sends
+/// its outdated order late, and the engine ignores fences.
 #[test]
 fn a_late_order_of_an_older_record_is_corrected_within_the_bound() {
     let mut fleet = fleet(2);
     fleet.publish(0, 2, 100);
     fleet.publish(1, 2, 100);
-    fleet.pass(30_000);
+    fleet.advance(30_000);
     let now = fleet.daemons[0].now;
     let late = Order {
         fence: Revision(9),
@@ -218,22 +226,22 @@
         .get_mut("e1")
         .expect("an engine")
         .order(now, &late);
-    fleet.pass(CORRECTED_MS);
+    fleet.advance(CORRECTION_MS);
 
     assert_eq!(verdict, OrderVerdict::Begun);
     assert_eq!(fleet.versions(), [2; 4]);
 }
 
-/// Engines load and unload without end: a daemon that lacks the newest records orders the old
-/// version, one that has them the new, and the engines ignore fences.
+/// Guards against engines that reload forever: a daemon without the newest records orders the old
+/// version, one with them the new version, and the engines ignore fences.
 #[test]
-fn a_daemon_with_older_records_does_not_fight_one_with_newer() {
+fn a_daemon_with_older_records_does_not_override_one_with_newer_records() {
     let mut fleet = fleet(2);
     fleet.split();
     fleet.publish(0, 2, 100);
     fleet.publish(1, 1, 50);
 
-    fleet.pass(120_000);
+    fleet.advance(120_000);
 
     assert_eq!(fleet.versions(), [2; 4]);
     let begun: u64 = fleet.engines.values().map(|e| e.state.orders_begun).sum();
@@ -241,37 +249,38 @@
 }
 
 #[test]
-fn two_daemons_that_both_rank_first_do_no_harm() {
+fn two_daemons_that_both_rank_first_cause_one_load_per_engine() {
     let mut fleet = fleet(2);
     fleet.split();
     fleet.publish(0, 2, 100);
     fleet.publish(1, 2, 100);
 
-    fleet.pass(30_000);
+    fleet.advance(30_000);
 
     assert_eq!(fleet.versions(), [2; 4]);
     let begun: u64 = fleet.engines.values().map(|e| e.state.orders_begun).sum();
     assert_eq!(begun, ENGINES.len() as u64);
 }
 
-/// All engines fetch weights at once and the weight store's limit makes each of them slow.
+/// Guards against all engines fetching weights at the same time, which the rate limit of the weight
+/// store makes slow for each of them.
 #[test]
 fn one_daemon_lets_one_engine_load_at_a_time() {
     let mut fleet = fleet(1);
     fleet.publish(0, 2, 100);
 
-    fleet.pass(30_000);
+    fleet.advance(30_000);
 
     assert_eq!(fleet.versions(), [2; 4]);
-    assert_eq!(fleet.most_loading, 1);
+    assert_eq!(fleet.max_loading, 1);
 }
 
-/// An engine is sent orders without end while it loads: a load that takes very long no longer
-/// counts against the others, and its unchanged state looks like one that wants an order.
+/// Guards against repeated orders to an engine that is loading: a very long load no longer blocks
+/// others, and the engine's unchanged state still differs from the desired one.
 #[test]
 fn a_busy_engine_gets_no_order_however_long_it_loads() {
-    let mut orderer = Orderer::default();
-    let duties = [Duty {
+    let mut planner = Orderer::default();
+    let desired = [Duty {
         target: "e1".into(),
         models: served(2),
     }];
@@ -280,27 +289,27 @@
     let mut steps = Vec::new();
 
     for now in (0..700_000).step_by(1_000).map(MonoMs) {
-        steps.extend(orderer.steps(now, &duties, |_| Some(Revision(100))));
-        orderer.read(now, &"e1".into(), state.clone());
+        steps.extend(planner.steps(now, &desired, |_| Some(Revision(100))));
+        planner.read(now, &"e1".into(), state.clone());
     }
     state.busy = false;
-    orderer.read(MonoMs(700_000), &"e1".into(), state);
-    let idle = orderer.steps(MonoMs(700_000), &duties, |_| Some(Revision(100)));
+    planner.read(MonoMs(700_000), &"e1".into(), state);
+    let idle = planner.steps(MonoMs(700_000), &desired, |_| Some(Revision(100)));
 
     let gives_order = |steps: &[Step]| steps.iter().any(|step| matches!(step, Step::Order(..)));
     assert!(!gives_order(&steps) && gives_order(&idle));
 }
 
 #[test]
-fn a_woken_daemon_sends_no_order_before_it_has_read_the_state_again() {
+fn a_resumed_daemon_sends_no_order_before_it_has_read_the_state_again() {
     let mut fleet = fleet(1);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
     fleet.publish(0, 2, 100);
     fleet.daemons[0].now += 30_000;
 
-    let woken = fleet.daemons[0].event(Event::Tick);
+    let resumed = fleet.daemons[0].event(Event::Tick);
 
-    let ordered = requests_fixture::calls(&woken)
+    let ordered = requests_fixture::calls(&resumed)
         .iter()
         .any(|(_, call)| matches!(call, TargetCall::Order { .. }));
     assert!(!ordered);
--- a/crates/core/tests/poison_fleet.rs
+++ b/crates/core/tests/poison_fleet.rs
@@ -1,9 +1,9 @@
-//! A request that crashes each target that runs it.
+//! A request that crashes every target that runs it.
 
 mod requests_fixture;
 
 use {
-    requests_fixture::{Bench, ENGINES, bench, dispatches, finished, report, run_of, told},
+    requests_fixture::{Bench, ENGINES, bench, dispatches, finished, report, run_of, sent_news},
     std::collections::BTreeMap,
     whinlatch_core::{Action, AttemptEvent, Dispatch, Submission},
     whinlatch_wire::{
@@ -17,14 +17,14 @@
 const PEER: Incarnation = Incarnation(0xB);
 const POISON: u64 = 13;
 
-/// Engines that die of one request and complete all others after a while.
+/// Fake engines that crash on the poison request and complete all others after a while.
 struct Engines {
     bench: Bench,
     poison: Vec<RequestId>,
-    flights: Vec<Dispatch>,
+    in_flight: Vec<Dispatch>,
     runs: BTreeMap<&'static str, u128>,
-    deaths: usize,
-    told: Vec<News>,
+    crashes: usize,
+    sent_news: Vec<News>,
     ended: BTreeMap<RequestId, Outcome>,
 }
 
@@ -35,17 +35,17 @@
         Self {
             bench,
             poison: Vec::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             runs: BTreeMap::new(),
-            deaths: 0,
-            told: Vec::new(),
+            crashes: 0,
+            sent_news: Vec::new(),
             ended: BTreeMap::new(),
         }
     }
 
-    fn take_in(&mut self, actions: &[Action]) {
-        self.told.extend(told(actions));
-        self.flights.extend(dispatches(actions));
+    fn apply(&mut self, actions: &[Action]) {
+        self.sent_news.extend(sent_news(actions));
+        self.in_flight.extend(dispatches(actions));
         let ended = finished(actions).into_iter();
         self.ended
             .extend(ended.map(|outcome| (outcome.request, outcome)));
@@ -56,48 +56,49 @@
             self.poison.push(submission.request);
         }
         let actions = self.bench.submit(submission);
-        self.take_in(&actions);
+        self.apply(&actions);
     }
 
     fn run_of(&self, target: &str) -> Incarnation {
-        let died = self.runs.get(target).copied().unwrap_or(0);
-        Incarnation(run_of(target).0 + (died << 64))
+        let restarts = self.runs.get(target).copied().unwrap_or(0);
+        Incarnation(run_of(target).0 + (restarts << 64))
     }
 
-    /// Lets targets that got the poison die, then time pass, until nothing is in flight.
-    fn settle(&mut self) {
+    /// Steps until nothing is in dispatch: engines with the poison crash, and others complete requests.
+    fn run_until_idle(&mut self) {
         for _ in 0..400 {
-            self.turn();
+            self.step();
             self.complete_one();
         }
     }
 
-    fn turn(&mut self) {
+    fn step(&mut self) {
         self.refuse_stale();
-        self.die();
-        self.now(50);
+        self.crash_one();
+        self.advance(50);
     }
 
-    /// An engine that has restarted refuses what was meant for its former run.
+    /// Refuses the attempts that were sent to a former run of a restarted engine.
     fn refuse_stale(&mut self) {
         let stale = |engines: &Self| {
-            let mut flights = engines.flights.iter();
-            flights.position(|f| f.expect_incarnation != engines.run_of(f.target.as_str()))
+            let mut in_flight = engines.in_flight.iter();
+            in_flight.position(|f| f.expect_incarnation != engines.run_of(f.target.as_str()))
         };
         while let Some(index) = stale(self) {
-            let flight = self.flights.remove(index);
+            let dispatch = self.in_flight.remove(index);
             let reason = RefusalReason::OtherIncarnation;
-            let actions = self.bench.refuse(flight.attempt, reason);
-            self.take_in(&actions);
+            let actions = self.bench.refuse(dispatch.attempt, reason);
+            self.apply(&actions);
         }
     }
 
-    fn die(&mut self) {
+    /// Crashes an engine that runs the poison, with all attempts in dispatch there.
+    fn crash_one(&mut self) {
         let hit = self
-            .flights
+            .in_flight
             .iter()
             .find(|f| self.poison.contains(&f.request));
-        let Some(target) = hit.map(|flight| flight.target.clone()) else {
+        let Some(target) = hit.map(|dispatch| dispatch.target.clone()) else {
             return;
         };
         let name = ENGINES
@@ -105,53 +106,55 @@
             .find(|name| **name == target.as_str())
             .expect("an engine");
         *self.runs.entry(*name).or_default() += 1;
-        self.deaths += 1;
-        let (lost, left) = self.flights.drain(..).partition(|f| f.target == target);
-        self.flights = left;
-        for flight in lost {
+        self.crashes += 1;
+        let (lost, left) = self.in_flight.drain(..).partition(|f| f.target == target);
+        self.in_flight = left;
+        for dispatch in lost {
             let broken = AttemptEvent::Broken { chunks: 0 };
-            let actions = self.bench.attempt(flight.attempt, broken);
-            self.take_in(&actions);
+            let actions = self.bench.attempt(dispatch.attempt, broken);
+            self.apply(&actions);
         }
     }
 
-    fn now(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         let runs: Vec<_> = ENGINES
             .iter()
             .map(|name| (*name, self.run_of(name)))
             .collect();
-        let actions = self.bench.pass_with(ms, |bench| {
+        let actions = self.bench.advance_with(ms, |bench| {
             let reports = runs.iter().map(|(name, run)| bench.report(name, *run));
             reports.flatten().collect()
         });
-        self.take_in(&actions);
+        self.apply(&actions);
     }
 
     fn complete_one(&mut self) {
         let healthy = self
-            .flights
+            .in_flight
             .iter()
             .position(|f| !self.poison.contains(&f.request));
         if let Some(index) = healthy {
-            let flight = self.flights.remove(index);
-            let actions = self.bench.attempt(flight.attempt, AttemptEvent::Completed);
-            self.take_in(&actions);
+            let dispatch = self.in_flight.remove(index);
+            let actions = self
+                .bench
+                .attempt(dispatch.attempt, AttemptEvent::Completed);
+            self.apply(&actions);
         }
     }
 }
 
-/// A manifest that crashes engines takes the fleet down: its caller sends it again each time it
-/// fails, and each time up to three more engines die with all that they were working on.
+/// Guards against one request taking the fleet down: its caller resends it after each failure, and each
+/// time up to three more engines crash with all requests that they were running.
 #[test]
 fn a_request_that_crashes_engines_is_stopped_within_three_targets() {
     let mut engines = Engines::new();
     for _ in 0..6 {
         let prompt = engines.bench.prompt(POISON);
         engines.submit(prompt);
-        engines.settle();
+        engines.run_until_idle();
     }
 
-    assert!(engines.deaths <= 3, "{} engines died", engines.deaths);
+    assert!(engines.crashes <= 3, "{} engines crashed", engines.crashes);
     let last = &engines.ended[engines.poison.last().expect("submitted")];
     assert_eq!(
         (last.outcome, last.reason),
@@ -160,10 +163,10 @@
     assert!(last.retry_after_ms.is_some());
 }
 
-/// Prompts that did nothing wrong fail with the one that crashes engines: all that was in flight
-/// at the engine is lost with it, and sent together to the next one that dies.
+/// Guards against harmless prompts failing with the one that crashes engines: all requests in dispatch at
+/// the engine are lost with it, and would be sent together to the next engine, which crashes too.
 #[test]
-fn the_innocent_beside_it_complete() {
+fn harmless_requests_in_flight_at_a_crashed_engine_complete() {
     let mut engines = Engines::new();
     for fingerprint in 100..124 {
         let prompt = engines.bench.prompt(fingerprint);
@@ -172,22 +175,22 @@
     for _ in 0..4 {
         let prompt = engines.bench.prompt(POISON);
         engines.submit(prompt);
-        (0..40).for_each(|_| engines.turn());
+        (0..40).for_each(|_| engines.step());
     }
 
-    engines.settle();
+    engines.run_until_idle();
 
-    let innocent = engines
+    let harmless = engines
         .ended
         .values()
         .filter(|o| !engines.poison.contains(&o.request));
-    let outcomes: Vec<OutcomeKind> = innocent.map(|o| o.outcome).collect();
+    let outcomes: Vec<OutcomeKind> = harmless.map(|o| o.outcome).collect();
     assert_eq!(outcomes, vec![OutcomeKind::Completed; 24]);
-    assert!(engines.deaths <= 3, "{} engines died", engines.deaths);
+    assert!(engines.crashes <= 3, "{} engines crashed", engines.crashes);
 }
 
-/// Reports of all engines but `idle` that show work of other daemons.
-fn all_busy_but(bench: &mut Bench, idle: &str) {
+/// Delivers reports of all engines except `idle` that show work of other daemons.
+fn report_all_busy_except(bench: &mut Bench, idle: &str) {
     for name in ENGINES.iter().filter(|name| **name != idle) {
         let load = LoadReport {
             running: 5,
@@ -197,10 +200,10 @@
     }
 }
 
-/// A prompt is lost with the one that crashes engines: it came later, and the engine where the
-/// suspect runs looked the least busy.
+/// Guards against a later prompt being lost with the one that crashes engines, because the engine that
+/// runs the suspect looks least busy.
 #[test]
-fn new_requests_keep_away_from_a_suspect() {
+fn new_requests_avoid_the_engine_that_runs_a_suspect() {
     let mut bench = bench();
     let poison = vec![PoisonNews {
         fingerprint: POISON,
@@ -215,7 +218,7 @@
     bench.news(PEER, news);
     let suspect = bench.prompt(POISON);
     let there = dispatches(&bench.submit(suspect))[0].target.clone();
-    all_busy_but(&mut bench, there.as_str());
+    report_all_busy_except(&mut bench, there.as_str());
 
     let prompt = bench.prompt(100);
     let sent = dispatches(&bench.submit(prompt))[0].target.clone();
@@ -223,10 +226,10 @@
     assert_ne!(sent, there);
 }
 
-/// A request goes back to the engine that broke off, since all others have work and count as
-/// places where it would not be alone.
+/// Guards against a suspect being sent back to the engine that broke off, because all other engines are
+/// busy and it wouldn't run alone there.
 #[test]
-fn a_suspect_is_not_sent_back_where_it_was_tried() {
+fn a_suspect_is_not_sent_back_to_an_engine_that_was_tried() {
     let mut bench = bench();
     let prompt = bench.prompt(POISON);
     let first = dispatches(&bench.submit(prompt))[0].clone();
@@ -234,28 +237,28 @@
         let other = bench.prompt(fingerprint);
         bench.submit(other);
     }
-    all_busy_but(&mut bench, first.target.as_str());
+    report_all_busy_except(&mut bench, first.target.as_str());
 
     let actions = bench.attempt(first.attempt, AttemptEvent::Broken { chunks: 0 });
 
     assert_ne!(dispatches(&actions)[0].target, first.target);
 }
 
-/// A caller sends the request that crashes engines to the next entry, and three more die.
+/// Guards against a caller that resends the poison to another daemon, where three more engines crash.
 #[test]
-fn other_daemons_refuse_it_by_what_they_are_told() {
+fn other_daemons_refuse_a_poison_request_because_of_news() {
     let mut engines = Engines::new();
     let prompt = engines.bench.prompt(POISON);
     engines.submit(prompt);
-    engines.settle();
+    engines.run_until_idle();
     let news: Vec<News> = engines
-        .told
+        .sent_news
         .into_iter()
         .filter(|n| !n.poison.is_empty())
         .collect();
     let mut elsewhere = bench();
-    for told in news {
-        elsewhere.news(PEER, told);
+    for item in news {
+        elsewhere.news(PEER, item);
     }
 
     let prompt = elsewhere.prompt(POISON);
@@ -265,9 +268,9 @@
 }
 
 #[test]
-fn what_peers_tell_twice_counts_once_and_ends_in_time() {
+fn crashes_in_repeated_news_count_once_and_expire() {
     let mut bench = bench();
-    let told = |deaths: &[u128], keep_ms| News {
+    let crash_news = |deaths: &[u128], keep_ms| News {
         poison: vec![PoisonNews {
             fingerprint: POISON,
             deaths: deaths.iter().map(|run| Incarnation(*run)).collect(),
@@ -276,14 +279,14 @@
         }],
         ..News::default()
     };
-    bench.news(PEER, told(&[1, 2], 5_000));
-    bench.news(PEER, told(&[2, 1], 5_000));
+    bench.news(PEER, crash_news(&[1, 2], 5_000));
+    bench.news(PEER, crash_news(&[2, 1], 5_000));
     let prompt = bench.prompt(POISON);
     let twice = bench.submit(prompt);
-    bench.news(PEER, told(&[3], 5_000));
+    bench.news(PEER, crash_news(&[3], 5_000));
     let prompt = bench.prompt(POISON);
     let thrice = bench.submit(prompt);
-    bench.pass(5_100);
+    bench.advance(5_100);
     let prompt = bench.prompt(POISON);
     let later = bench.submit(prompt);
 
@@ -293,14 +296,14 @@
 }
 
 #[test]
-fn a_broken_connection_to_an_engine_that_lives_is_no_death() {
+fn a_broken_connection_to_a_live_engine_is_no_crash() {
     let mut bench = bench();
     for _ in 0..4 {
         let prompt = bench.prompt(POISON);
         let attempt = dispatches(&bench.submit(prompt))[0].attempt;
         let actions = bench.attempt(attempt, AttemptEvent::Broken { chunks: 0 });
         let mut again = dispatches(&actions);
-        again.extend(dispatches(&bench.pass(2_000)));
+        again.extend(dispatches(&bench.advance(2_000)));
         bench.attempt(again[0].attempt, AttemptEvent::Completed);
     }
 
--- a/crates/core/tests/policy/fleet_fixture.rs
+++ b/crates/core/tests/policy/fleet_fixture.rs
@@ -1,4 +1,4 @@
-//! A small fleet for tests of decisions: daemons' cores that know engines of one or two providers.
+//! Test fixture: cores of daemons with records and reports of engines of one or two providers.
 
 use {
     serde_json::{Value, json},
@@ -19,25 +19,25 @@
     },
 };
 
-/// Tokens that an engine holds.
+/// Memory of an engine in tokens.
 pub const MEMORY_TOKENS: u64 = 300_000;
 /// Digest of the key that all callers present.
 pub const KEY_SHA256: &str = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683";
-/// Tokens a second that an engine's record states.
+/// Prefill rate in the record of an engine, in tokens per second.
 pub const RATE: u64 = 40_000;
 
-/// What the records of a fleet say.
+/// Contents of a fleet's records.
 #[derive(Debug, Clone)]
 pub struct FleetSpec {
-    /// Providers with their shares in thousandths and engines.
+    /// Name of each provider, its share in thousandths and its number of engines.
     pub providers: Vec<(&'static str, u32, usize)>,
-    /// Accounts with their requests a second and weight.
+    /// Name of each account, its limit in requests per second and its weight.
     pub accounts: Vec<(&'static str, f64, f64)>,
-    /// Weight of long first tokens; that of short slowdown is the rest of 1.
+    /// Weight of the first token of long prompts, 0 to 1; the slowdown of short requests has the rest.
     pub long_weight: f64,
 }
 
-/// One provider with `engines` engines and one account without a limit.
+/// Returns a fleet with one provider of `engines` engines and one account that is practically unlimited.
 pub fn fleet_of(engines: usize) -> FleetSpec {
     FleetSpec {
         providers: vec![("old", 1_000, engines)],
@@ -46,29 +46,29 @@
     }
 }
 
-/// Name of an engine by number.
+/// Returns the name of the engine with a number.
 pub fn engine(number: usize) -> TargetName {
     TargetName::new(&format!("engine-{number:03}"))
 }
 
-/// The run of an engine by number.
+/// Returns the incarnation of the engine with a number.
 pub fn run_of(number: usize) -> Incarnation {
     Incarnation(1_000 + number as u128)
 }
 
-/// The number of an engine by name.
+/// Returns the number in an engine's name.
 pub fn number_of(target: &TargetName) -> usize {
     target.as_str()[7..]
         .parse()
         .expect("an engine's name ends in its number")
 }
 
-/// The run of a daemon by number.
+/// Returns the incarnation of the daemon with a number.
 pub fn daemon(number: usize) -> Incarnation {
     Incarnation(1 + number as u128)
 }
 
-/// The records that a spec stands for.
+/// Builds the page of records for a spec, with revisions counted from 1.
 pub fn records(spec: &FleetSpec) -> RecordPage {
     let mut values = vec![record(
         "policy",
@@ -143,7 +143,7 @@
     })
 }
 
-/// A daemon that has just started and knows nothing.
+/// Creates the core of a daemon that has just started, without records.
 pub fn fresh_core(number: usize) -> Core {
     let options = CoreOptions {
         instance: InstanceName::new(&format!("instance-{number}")),
@@ -157,7 +157,7 @@
     Core::new(MonoMs(0), options)
 }
 
-/// A daemon that holds the records and has a report of each engine, all idle.
+/// Creates the core of a daemon that has its records and an idle report of each engine.
 pub fn ready_core(number: usize, spec: &FleetSpec) -> Core {
     let mut core = fresh_core(number);
     let page = PlatformEvent::Records(records(spec));
@@ -169,7 +169,7 @@
     core
 }
 
-/// The report of an idle engine.
+/// Builds the load report of an idle engine.
 pub fn idle(number: usize) -> LoadReport {
     LoadReport {
         incarnation: run_of(number),
@@ -183,7 +183,7 @@
     }
 }
 
-/// Lets a daemon have a report of an engine.
+/// Delivers a load report of an engine.
 pub fn report(core: &mut Core, now: MonoMs, number: usize, report: LoadReport) -> Vec<Action> {
     let event = TargetEvent::Report(report);
     core.handle(
@@ -195,7 +195,7 @@
     )
 }
 
-/// A request for a prompt.
+/// Builds a prompt whose fingerprint is its request number.
 pub fn prompt(request: u128, prompt_tokens: u64, deadline_ms: u64) -> Submission {
     Submission {
         request: RequestId(request),
@@ -222,7 +222,7 @@
     core.handle(now, Event::Submit(Box::new(submission)))
 }
 
-/// The attempts among actions.
+/// Returns the dispatches among actions.
 pub fn dispatches(actions: &[Action]) -> Vec<&Dispatch> {
     actions
         .iter()
@@ -233,7 +233,7 @@
         .collect()
 }
 
-/// The final answers among actions.
+/// Returns the final answers among actions.
 pub fn outcomes(actions: &[Action]) -> Vec<&Outcome> {
     actions
         .iter()
@@ -244,7 +244,7 @@
         .collect()
 }
 
-/// The calls of targets among actions, reports left out.
+/// Returns the calls to targets among actions, except reads of reports and cache events.
 pub fn calls(actions: &[Action]) -> Vec<(TargetName, TargetCall)> {
     actions
         .iter()
--- a/crates/core/tests/policy/main.rs
+++ b/crates/core/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of the core: admission, routing and placement, each rule by itself.
+//! Tests of single rules of the core: load tracking, prefill costs and placement.
 
 mod fleet_fixture;
 mod load_book;
--- a/crates/core/tests/policy/placement.rs
+++ b/crates/core/tests/policy/placement.rs
@@ -1,4 +1,4 @@
-//! Groups of engines for prompts beyond the memory of one.
+//! Groups of engines for prompts larger than the memory of one engine.
 
 use {
     crate::fleet_fixture::{
@@ -44,8 +44,8 @@
     core.handle(now, Event::Target { target, event })
 }
 
-/// Lets every engine that is asked agree. Returns the reservations and what came last.
-fn agree_all(
+/// Grants every reservation that the core requests, one by one. Returns them and the last actions.
+fn grant_all(
     core: &mut Core,
     mut actions: Vec<Action>,
 ) -> (Vec<(TargetName, AttemptId)>, Vec<Action>) {
@@ -67,7 +67,7 @@
     let mut core = ready_core(0, &fleet_of(5));
 
     let first = submit(&mut core, MonoMs(1), prompt(1, MILLION, 300_000));
-    let (held, last) = agree_all(&mut core, first);
+    let (held, last) = grant_all(&mut core, first);
 
     let names: Vec<&TargetName> = held.iter().map(|(target, _)| target).collect();
     assert_eq!(names.len(), 4);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_prompt_that_no_group_can_hold_is_refused_at_once() {
+fn a_prompt_that_no_group_can_hold_is_refused_immediately() {
     let mut core = ready_core(0, &fleet_of(3));
 
     let actions = submit(&mut core, MonoMs(1), prompt(1, MILLION, 300_000));
@@ -90,10 +90,9 @@
 }
 
 #[test]
-fn the_first_refusal_gives_everything_back() {
-    // What a user would see: long prompts never start though enough engines are free.
-    // Two daemons each hold half of the engines and wait for the other half.
-    // Cause: parts kept while waiting for the rest.
+fn the_first_refusal_releases_the_whole_group() {
+    // Guards against a deadlock in which long prompts never start although enough engines are free:
+    // two daemons each keep reservations at half of the engines while they wait for the other half.
     let mut core = ready_core(0, &fleet_of(4));
     let first = submit(&mut core, MonoMs(1), prompt(1, MILLION, 300_000));
     let (one, ask_one) = reserves(&first).remove(0);
@@ -108,17 +107,16 @@
     let refused = TargetEvent::ReserveRefused(ask_two.reservation);
     let actions = answer(&mut core, MonoMs(3), &two, refused);
 
-    let given_back = releases(&actions);
-    assert!(given_back.contains(&(one, ask_one.reservation)));
+    let released = releases(&actions);
+    assert!(released.contains(&(one, ask_one.reservation)));
     let again = core.handle(MonoMs(1_000), Event::Tick);
     assert_eq!(reserves(&again).len(), 1, "the group is tried again");
 }
 
 #[test]
 fn every_end_of_a_request_releases_its_group() {
-    // What a user would see: after some cancelled audits no long prompt starts any more.
-    // The caller goes away, or the answer is whole, and the engines still hold its memory.
-    // Cause: an end of a request that doesn't release.
+    // Guards against long prompts that no longer start after some were cancelled: the caller
+    // disconnects or the answer completes, and that end of the request doesn't release its memory.
     type End = fn(&mut Core, AttemptId) -> Vec<Action>;
     let ends: [End; 4] = [
         |core, attempt| attempt_event(core, attempt, AttemptEvent::Completed),
@@ -136,13 +134,13 @@
     for end in ends {
         let mut core = ready_core(0, &fleet_of(4));
         let first = submit(&mut core, MonoMs(1), prompt(1, MILLION, 300_000));
-        let (held, last) = agree_all(&mut core, first);
+        let (held, last) = grant_all(&mut core, first);
         let attempt = dispatches(&last)[0].attempt;
 
-        let given_back = releases(&end(&mut core, attempt));
+        let released = releases(&end(&mut core, attempt));
 
         for part in held {
-            assert!(given_back.contains(&part), "{part:?} is not given back");
+            assert!(released.contains(&part), "{part:?} is not released");
         }
     }
 }
@@ -156,10 +154,10 @@
 }
 
 #[test]
-fn an_agreement_that_comes_after_the_end_is_given_back() {
-    // What a user would see: an engine's memory shrinks with each cancelled audit.
-    // The caller goes away while an engine answers; the engine's yes arrives after the release.
-    // Cause: release and reserve crossed on two connections.
+fn a_reservation_granted_after_the_end_of_its_request_is_released() {
+    // Guards against an engine that loses memory with each cancelled prompt: the caller disconnects
+    // while the engine answers, and reserve and release cross on two connections, so that the grant
+    // arrives after the release.
     let mut core = ready_core(0, &fleet_of(4));
     let first = submit(&mut core, MonoMs(1), prompt(1, MILLION, 300_000));
     let (one, ask) = reserves(&first).remove(0);
@@ -181,10 +179,10 @@
 }
 
 #[test]
-fn holds_are_renewed_while_the_prompt_runs() {
+fn reservations_are_renewed_while_the_prompt_runs() {
     let mut core = ready_core(0, &fleet_of(4));
     let first = submit(&mut core, MonoMs(1), prompt(1, MILLION, 300_000));
-    let (held, _) = agree_all(&mut core, first);
+    let (held, _) = grant_all(&mut core, first);
 
     let actions = core.handle(MonoMs(6_000), Event::Tick);
 
@@ -195,11 +193,11 @@
     assert_eq!(renewed, held);
 }
 
-/// Engines that only count memory, and messages that are delivered in any order.
-struct Yard {
+/// Fake engines that only count memory, and several cores whose messages arrive in any order.
+struct FakeFleet {
     cores: Vec<Core>,
     held: BTreeMap<(usize, AttemptId), u64>,
-    mail: VecDeque<(usize, Event)>,
+    inbox: VecDeque<(usize, Event)>,
     calls: VecDeque<(usize, TargetName, TargetCall)>,
     running: VecDeque<(usize, AttemptId)>,
     completed: usize,
@@ -207,7 +205,7 @@
     now: MonoMs,
 }
 
-impl Yard {
+impl FakeFleet {
     fn new(daemons: usize, engines: usize) -> Self {
         let spec = fleet_of(engines);
         Self {
@@ -215,7 +213,7 @@
                 .map(|number| ready_core(number, &spec))
                 .collect(),
             held: BTreeMap::new(),
-            mail: VecDeque::new(),
+            inbox: VecDeque::new(),
             calls: VecDeque::new(),
             running: VecDeque::new(),
             completed: 0,
@@ -230,7 +228,7 @@
             self.calls.push_back((core, target, call));
         }
         for dispatch in dispatches(&actions) {
-            self.assert_whole(dispatch);
+            self.assert_all_reserved(dispatch);
             self.running.push_back((core, dispatch.attempt));
         }
         for outcome in outcomes(&actions) {
@@ -238,8 +236,8 @@
         }
     }
 
-    /// All parts that a dispatch names are held at the engines at that moment.
-    fn assert_whole(&self, dispatch: &Dispatch) {
+    /// Asserts that all reservations of a dispatch are held at the engines when it is sent.
+    fn assert_all_reserved(&self, dispatch: &Dispatch) {
         let members = dispatch.group.iter().map(|member| Some(member.reservation));
         for reservation in members.chain([dispatch.reservation]) {
             let held = self.held.keys().any(|(_, held)| Some(*held) == reservation);
@@ -247,15 +245,16 @@
         }
     }
 
-    /// Does one thing that may happen now, chosen by `pick`.
+    /// Performs one of the possible steps, selected by `pick`: delivers an event or a call, completes an
+    /// attempt, or advances the clock.
     fn step(&mut self, pick: usize) {
-        let choices = self.mail.len() + self.calls.len() + self.running.len() + 1;
+        let choices = self.inbox.len() + self.calls.len() + self.running.len() + 1;
         let mut pick = pick % choices;
-        if pick < self.mail.len() {
-            let (core, event) = self.mail.remove(pick).expect("in range");
+        if pick < self.inbox.len() {
+            let (core, event) = self.inbox.remove(pick).expect("in range");
             return self.handle(core, event);
         }
-        pick -= self.mail.len();
+        pick -= self.inbox.len();
         if pick < self.calls.len() {
             let (core, target, call) = self.calls.remove(pick).expect("in range");
             return self.engine_call(core, target, &call);
@@ -294,7 +293,8 @@
             TargetCall::Reserve { reserve, .. } => {
                 assert_eq!(reserve.expect_incarnation, run_of(number));
                 let event = self.reserve(number, reserve);
-                self.mail.push_back((core, Event::Target { target, event }));
+                self.inbox
+                    .push_back((core, Event::Target { target, event }));
             }
             TargetCall::Release(release) => {
                 self.held.remove(&(number, release.reservation));
@@ -318,8 +318,8 @@
     }
 }
 
-/// The same cases in each run, so that the verdict is the same.
-fn same_each_time() -> ProptestConfig {
+/// Runs the same cases every time, so that the result is reproducible.
+fn fixed_cases() -> ProptestConfig {
     ProptestConfig {
         cases: 60,
         rng_seed: RngSeed::Fixed(11),
@@ -329,46 +329,45 @@
 }
 
 proptest! {
-    #![proptest_config(same_each_time())]
+    #![proptest_config(fixed_cases())]
 
-    /// What a user would see: of several audits sent at once none ever starts, or the engines stay
-    /// full after all have ended. Three daemons place groups over the same five engines while
-    /// messages come in any order. Cause: partial holds that wait for each other, or that are
-    /// forgotten.
+    /// Three daemons place groups on the same five engines while messages arrive in any order. Guards
+    /// against partial groups that wait for each other, so that no prompt ever starts, and against
+    /// reservations that are never released, so that the engines stay full after all prompts have ended.
     #[test]
-    fn daemons_that_place_at_once_all_get_through(picks in prop::collection::vec(any::<usize>(), 400)) {
-        let mut yard = Yard::new(3, 5);
+    fn groups_placed_at_the_same_time_by_several_daemons_all_complete(picks in prop::collection::vec(any::<usize>(), 400)) {
+        let mut fleet = FakeFleet::new(3, 5);
         for request in 0..6 {
             let submission = prompt(1 + request, MILLION, 600_000);
-            yard.handle(request as usize % 3, Event::Submit(Box::new(submission)));
+            fleet.handle(request as usize % 3, Event::Submit(Box::new(submission)));
         }
 
         for pick in picks {
-            yard.step(pick);
+            fleet.step(pick);
         }
-        let mut calm = 0;
-        while yard.completed < 6 && calm < 5_000 {
-            yard.step(0);
-            calm += 1;
+        let mut steps = 0;
+        while fleet.completed < 6 && steps < 5_000 {
+            fleet.step(0);
+            steps += 1;
         }
-        while !(yard.mail.is_empty() && yard.calls.is_empty()) {
-            yard.step(0);
+        while !(fleet.inbox.is_empty() && fleet.calls.is_empty()) {
+            fleet.step(0);
         }
 
-        prop_assert_eq!(yard.completed, 6);
-        prop_assert!(yard.held.is_empty(), "still held: {:?}", yard.held);
+        prop_assert_eq!(fleet.completed, 6);
+        prop_assert!(fleet.held.is_empty(), "still held: {:?}", fleet.held);
     }
 }
 
 #[test]
-fn an_engine_that_leaves_is_in_no_group() {
+fn a_leaving_engine_joins_no_group() {
     let mut core = ready_core(0, &fleet_of(5));
     let mut leaving = idle(0);
     leaving.leaving = true;
     report(&mut core, MonoMs(1), 0, leaving);
 
     let first = submit(&mut core, MonoMs(2), prompt(1, MILLION, 300_000));
-    let (held, _) = agree_all(&mut core, first);
+    let (held, _) = grant_all(&mut core, first);
 
     assert!(held.iter().all(|(target, _)| *target != engine(0)));
 }
--- a/crates/core/tests/requests_drain.rs
+++ b/crates/core/tests/requests_drain.rs
@@ -1,9 +1,9 @@
-//! A daemon that is told to stop: nothing is cut off, nothing new is lost.
+//! A daemon that is asked to stop: requests in dispatch finish, and no new request is lost.
 
 mod requests_fixture;
 
 use {
-    requests_fixture::{Bench, bench, dispatches, finished, replayed, told},
+    requests_fixture::{Bench, bench, dispatches, finished, replayed, sent_news},
     whinlatch_core::{Action, AttemptEvent, Event},
     whinlatch_wire::{
         caller::{OutcomeKind, Reason},
@@ -13,36 +13,36 @@
 };
 
 const PEER: Incarnation = Incarnation(0xB);
-/// Longer than callers keep the entries.
-const FORGOTTEN_MS: u64 = 3_100;
+/// Longer than callers keep the list of entries, in ms.
+const ENTRIES_EXPIRED_MS: u64 = 3_100;
 
-fn stopping() -> Bench {
+fn stopping_bench() -> Bench {
     let mut bench = bench();
     bench.link(PEER);
     bench.event(Event::Stop);
     bench
 }
 
-fn stops(actions: &[Action]) -> usize {
-    let stops = actions
+fn count_stopped(actions: &[Action]) -> usize {
+    let stopped = actions
         .iter()
         .filter(|action| matches!(action, Action::Stopped));
-    stops.count()
+    stopped.count()
 }
 
-/// Callers go on being sent to a daemon that is about to end, since the peers still name it.
+/// Guards against callers still being directed to a leaving daemon because its peers list it.
 #[test]
-fn peers_are_told_and_the_entries_no_longer_name_a_leaving_daemon() {
-    let mut bench = stopping();
+fn peers_learn_of_a_leaving_daemon_and_its_entries_omit_it() {
+    let mut bench = stopping_bench();
 
-    let actions = bench.pass(600);
+    let actions = bench.advance(600);
 
-    let states: Vec<MemberState> = told(&actions)
+    let states: Vec<MemberState> = sent_news(&actions)
         .iter()
         .flat_map(|news| &news.members)
         .map(|member| member.state)
         .collect();
-    assert!(states.contains(&MemberState::Leaving), "told {states:?}");
+    assert!(states.contains(&MemberState::Leaving), "sent {states:?}");
     let own = ([127, 0, 0, 0xA], 80).into();
     assert!(
         bench
@@ -55,13 +55,13 @@
 }
 
 #[test]
-fn a_peer_that_links_later_is_told_too() {
-    let mut bench = stopping();
-    bench.pass(600);
+fn a_peer_that_links_later_learns_of_the_leaving_daemon_too() {
+    let mut bench = stopping_bench();
+    bench.advance(600);
     let late = Incarnation(0xC);
 
     let mut actions = bench.link(late);
-    actions.extend(bench.pass(600));
+    actions.extend(bench.advance(600));
 
     let to_late = actions.iter().any(|action| {
         matches!(action, Action::Send { to, frame } if *to == late
@@ -71,11 +71,11 @@
 }
 
 #[test]
-fn new_work_is_taken_until_callers_have_dropped_the_address_and_refused_after() {
-    let mut bench = stopping();
+fn new_work_is_accepted_until_callers_have_dropped_the_address_and_refused_after() {
+    let mut bench = stopping_bench();
     let early = bench.prompt(1);
     let taken = bench.submit(early);
-    bench.pass(FORGOTTEN_MS);
+    bench.advance(ENTRIES_EXPIRED_MS);
 
     let late = bench.prompt(2);
     let refused = bench.submit(late);
@@ -89,29 +89,29 @@
 }
 
 #[test]
-fn nothing_in_flight_is_cut_off_and_the_end_is_told_once() {
+fn requests_in_flight_finish_and_the_stop_is_reported_once() {
     let mut bench = bench();
     let prompt = bench.prompt(1);
     let attempt = dispatches(&bench.submit(prompt))[0].attempt;
     bench.event(Event::Stop);
 
-    let working = bench.pass(30_000);
+    let working = bench.advance(30_000);
     let ended = bench.attempt(attempt, AttemptEvent::Completed);
-    let after = bench.pass(1_000);
+    let after = bench.advance(1_000);
 
-    assert_eq!(stops(&working), 0);
+    assert_eq!(count_stopped(&working), 0);
     assert_eq!(finished(&ended)[0].outcome, OutcomeKind::Completed);
-    assert_eq!(stops(&after), 1);
+    assert_eq!(count_stopped(&after), 1);
 }
 
-/// A label is made twice: a daemon at its end refuses a request with an unused ticket as
-/// `not_run`, and the next call finds the ticket usable again.
+/// Guards against a second run: a stopping daemon refuses a request as `not_run`, but leaves its unused
+/// ticket open, so that a later request under the ticket would run.
 #[test]
-fn unused_tickets_are_closed_for_ever() {
+fn unused_tickets_stay_closed_once_new_work_is_refused() {
     let mut bench = bench();
     let ticket = bench.ticket();
     bench.event(Event::Stop);
-    bench.pass(FORGOTTEN_MS);
+    bench.advance(ENTRIES_EXPIRED_MS);
 
     for _ in 0..2 {
         let label = bench.label(Some(ticket));
@@ -129,13 +129,13 @@
 #[test]
 fn a_leaving_home_still_answers_for_its_tickets() {
     let mut bench = bench();
-    let (ticket, _, flight) = bench.label_in_flight();
+    let (ticket, _, dispatch) = bench.label_in_flight();
     bench.event(Event::Stop);
-    bench.pass(FORGOTTEN_MS);
+    bench.advance(ENTRIES_EXPIRED_MS);
     let again = bench.label(Some(ticket));
     bench.submit(again);
 
-    let ended = bench.attempt(flight.attempt, AttemptEvent::Completed);
+    let ended = bench.attempt(dispatch.attempt, AttemptEvent::Completed);
 
     assert_eq!(replayed(&ended)[0].outcome, OutcomeKind::Completed);
 }
--- a/crates/core/tests/requests_fixture/mod.rs
+++ b/crates/core/tests/requests_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! A core with records, targets and callers, for the tests of requests, tickets and orders.
+//! Test fixture for requests, tickets and orders: a core with records, targets and callers.
 
 #![expect(dead_code, reason = "each test file uses a part of it")]
 
@@ -20,27 +20,28 @@
 
 /// Incarnation of the core under test.
 pub const HOME: Incarnation = Incarnation(0xA);
-/// Engines that serve `m`.
+/// Engines that serve the model `m`.
 pub const ENGINES: [&str; 4] = ["e1", "e2", "e3", "e4"];
-/// Plain services `labels`.
+/// Targets that provide the plain service `labels`.
 pub const SERVICES: [&str; 2] = ["s1", "s2"];
 /// Digest of the key that all callers present.
 pub const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
-/// Time for a request, in ms.
+/// Deadline of the requests, in ms from their submission.
 pub const DEADLINE_MS: u64 = 60_000;
 
+/// A core under test with a manual clock, in ms.
 pub struct Bench {
     pub core: Core,
     pub now: u64,
     next_request: u128,
 }
 
-/// A core at work: records in force, each target heard from.
+/// Returns a ready core: it has its records and a report of each target.
 pub fn bench() -> Bench {
     bench_with(&[])
 }
 
-/// As [`bench`], with further records (key, value).
+/// Like [`bench`], with additional records, each a key and a value.
 pub fn bench_with(more: &[(&str, String)]) -> Bench {
     let mut bench = Bench::empty(HOME);
     bench.publish(records().iter().chain(more));
@@ -96,22 +97,22 @@
         })
     }
 
-    /// Ticks each 50 ms for `ms`; targets go on reporting.
-    pub fn pass(&mut self, ms: u64) -> Vec<Action> {
-        self.pass_with(ms, Self::report_all)
+    /// Advances the clock by `ms` with a tick every 50 ms, before which all targets report.
+    pub fn advance(&mut self, ms: u64) -> Vec<Action> {
+        self.advance_with(ms, Self::report_all)
     }
 
-    /// As [`Bench::pass`], with `each` run before each tick.
-    pub fn pass_with(
+    /// Like [`Bench::advance`], but runs `before_tick` before each tick instead of the reports.
+    pub fn advance_with(
         &mut self,
         ms: u64,
-        mut each: impl FnMut(&mut Self) -> Vec<Action>,
+        mut before_tick: impl FnMut(&mut Self) -> Vec<Action>,
     ) -> Vec<Action> {
         let end = self.now + ms;
         let mut actions = Vec::new();
         while self.now < end {
             self.now = (self.now + 50).min(end);
-            actions.extend(each(self));
+            actions.extend(before_tick(self));
             actions.extend(self.event(Event::Tick));
         }
         actions
@@ -121,7 +122,7 @@
         self.event(Event::Submit(Box::new(submission)))
     }
 
-    /// A prompt of the account `acme`.
+    /// Builds a prompt of the account `acme`.
     pub fn prompt(&mut self, fingerprint: u64) -> Submission {
         let work = Work::Prompt {
             model: "m".into(),
@@ -133,7 +134,7 @@
         self.submission(work, fingerprint)
     }
 
-    /// A label call of the account `acme`, which may not be repeated.
+    /// Builds a call of the account `acme` to the service `labels`, which must not run twice.
     pub fn label(&mut self, ticket: Option<Ticket>) -> Submission {
         let work = Work::Call {
             service: "labels".into(),
@@ -160,16 +161,14 @@
         }
     }
 
-    /// A fresh ticket for [`Bench::label`].
+    /// Obtains a new ticket for [`Bench::label`].
     pub fn ticket(&mut self) -> Ticket {
         let label = self.label(None);
         let actions = self.submit(label);
-        finished(&actions)[0]
-            .ticket
-            .expect("a ticket is handed out")
+        finished(&actions)[0].ticket.expect("a ticket is issued")
     }
 
-    /// How a label call under the ticket ends where every target is full.
+    /// Submits a label call under the ticket while every target is full, and returns its outcome.
     pub fn label_refused(&mut self, ticket: Ticket) -> OutcomeKind {
         let label = self.label(Some(ticket));
         let mut actions = self.submit(label);
@@ -179,7 +178,7 @@
         finished(&actions)[0].outcome
     }
 
-    /// A label call in flight under a fresh ticket.
+    /// Submits a label call under a new ticket. Its attempt is in dispatch.
     pub fn label_in_flight(&mut self) -> (Ticket, RequestId, Dispatch) {
         let ticket = self.ticket();
         let label = self.label(Some(ticket));
@@ -201,13 +200,13 @@
         self.attempt(attempt, AttemptEvent::Refused(refusal))
     }
 
-    /// A link to the daemon `incarnation` opens.
+    /// Opens a link to the daemon `incarnation`.
     pub fn link(&mut self, incarnation: Incarnation) -> Vec<Action> {
         let hello = hello(incarnation);
         self.event(Event::PeerUp { hello })
     }
 
-    /// News comes from the daemon `from`.
+    /// Delivers news from the daemon `from`.
     pub fn news(&mut self, from: Incarnation, news: News) -> Vec<Action> {
         let frame = PeerFrame {
             news,
@@ -219,7 +218,8 @@
         })
     }
 
-    pub fn tell_member(&mut self, from: Incarnation, of: Incarnation, state: MemberState) {
+    /// Delivers news from the daemon `from` about the state of the daemon `of`.
+    pub fn member_news(&mut self, from: Incarnation, of: Incarnation, state: MemberState) {
         let hello = hello(of);
         let member = MemberNews {
             incarnation: of,
@@ -307,7 +307,7 @@
     )
 }
 
-/// An engine that has model `m` in these versions.
+/// Record of an engine that is to serve model `m` in these versions.
 pub fn engine(name: &str, versions: &[u32]) -> String {
     let models: Vec<String> = versions
         .iter()
@@ -336,7 +336,7 @@
     )
 }
 
-/// The first run of a target.
+/// Incarnation of the first run of a target.
 pub fn run_of(target: &str) -> Incarnation {
     Incarnation(0x1000 + target.bytes().map(u128::from).sum::<u128>())
 }
@@ -378,7 +378,7 @@
     replayed.collect()
 }
 
-/// Calls to targets: name and call.
+/// Calls to targets that aren't attempts, each with the target's name.
 pub fn calls(actions: &[Action]) -> Vec<(String, TargetCall)> {
     let calls = actions.iter().filter_map(|action| match action {
         Action::Call { target, call, .. } => Some((target.as_str().to_owned(), call.clone())),
@@ -387,11 +387,11 @@
     calls.collect()
 }
 
-/// News that is sent to peers.
-pub fn told(actions: &[Action]) -> Vec<News> {
-    let told = actions.iter().filter_map(|action| match action {
+/// News in the frames sent to peers.
+pub fn sent_news(actions: &[Action]) -> Vec<News> {
+    let news = actions.iter().filter_map(|action| match action {
         Action::Send { frame, .. } => Some(frame.news.clone()),
         _ => None,
     });
-    told.collect()
+    news.collect()
 }
--- a/crates/core/tests/requests_holdings.rs
+++ b/crates/core/tests/requests_holdings.rs
@@ -1,4 +1,4 @@
-//! Memory at engines that nobody gives back.
+//! Leaked memory at engines: holdings whose owner doesn't release them.
 
 mod requests_fixture;
 
@@ -13,11 +13,11 @@
 };
 
 const PEER: Incarnation = Incarnation(0xB);
-const LOST: AttemptId = AttemptId(0xF00D);
+const LEAKED: AttemptId = AttemptId(0xF00D);
 
 fn holding(owner: Incarnation, overdue_ms: u64, reservation: bool) -> LoadReport {
     let holdings = vec![Holding {
-        attempt: LOST,
+        attempt: LEAKED,
         owner,
         tokens: 1_000,
         overdue_ms,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Lets `ms` pass while `e1` goes on reporting; the calls that give [`LOST`] back.
+/// Lets `ms` pass while `e1` keeps reporting `load`. Returns the calls that free [`LEAKED`].
 fn freed(bench: &mut Bench, ms: u64, load: &LoadReport) -> Vec<TargetCall> {
     let mut all = Vec::new();
     for _ in 0..ms / 250 {
@@ -39,17 +39,17 @@
         all.extend(calls(&actions));
     }
     all.retain(|(_, call)| match call {
-        TargetCall::Cancel(cancel) => cancel.attempt == LOST,
-        TargetCall::Release(release) => release.reservation == LOST,
+        TargetCall::Cancel(cancel) => cancel.attempt == LEAKED,
+        TargetCall::Release(release) => release.reservation == LEAKED,
         _ => false,
     });
     all.into_iter().map(|(_, call)| call).collect()
 }
 
-/// An engine has less and less memory. The daemon that owned the work is gone and the engine holds
-/// what was in flight past its deadline for good.
+/// Guards against an engine running out of memory because the daemon that owned a request is gone and
+/// the engine keeps the memory past the deadline.
 #[test]
-fn what_is_overdue_is_cancelled_whoever_owns_it() {
+fn overdue_holdings_are_cancelled_whoever_owns_them() {
     let mut bench = bench();
 
     let early = freed(&mut bench, 1_000, &holding(PEER, 500, false));
@@ -69,24 +69,24 @@
 }
 
 #[test]
-fn what_a_dead_daemon_owns_is_freed_before_its_deadline_and_what_a_suspect_owns_is_not() {
+fn holdings_of_a_dead_daemon_are_freed_before_the_deadline_and_those_of_a_suspect_are_not() {
     let mut bench = bench();
     bench.link(PEER);
     bench.link(Incarnation(0xC));
     let load = holding(PEER, 0, false);
 
-    bench.tell_member(Incarnation(0xC), PEER, MemberState::Suspect);
+    bench.member_news(Incarnation(0xC), PEER, MemberState::Suspect);
     let suspect = freed(&mut bench, 2_000, &load);
-    bench.tell_member(Incarnation(0xC), PEER, MemberState::Dead);
+    bench.member_news(Incarnation(0xC), PEER, MemberState::Dead);
     let dead = freed(&mut bench, 20_000, &load);
 
     assert!(suspect.is_empty());
     assert!(!dead.is_empty());
 }
 
-/// A cancel got lost on its way and the engine works on for a caller that left.
+/// Guards against an engine working on for a caller that has disconnected, because the cancel was lost.
 #[test]
-fn an_own_attempt_that_is_over_is_cancelled_again_and_one_in_flight_is_not() {
+fn an_own_attempt_that_has_ended_is_cancelled_again_and_one_in_flight_is_not() {
     let mut bench = bench();
     let prompt = bench.prompt(1);
     let live = dispatches(&bench.submit(prompt))[0].attempt;
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_own_reservation_that_no_group_knows_is_released() {
+fn an_own_reservation_without_a_group_is_released() {
     let mut bench = bench();
 
     let freed = freed(&mut bench, 2_000, &holding(HOME, 0, true));
@@ -115,9 +115,10 @@
     assert!(matches!(freed[0], TargetCall::Release(_)));
 }
 
-/// The daemon that ranks highest for an engine can't reach it, and nobody else frees its memory.
+/// Guards against leaked memory that no daemon frees because the one ranked first can't reach the
+/// engine.
 #[test]
-fn every_daemon_frees_an_overdue_holding_in_the_end() {
+fn every_daemon_eventually_frees_an_overdue_holding() {
     for own in 0xA..0xE {
         let mut bench = Bench::empty(Incarnation(own));
         bench.publish(requests_fixture::records().iter());
--- a/crates/core/tests/requests_pause.rs
+++ b/crates/core/tests/requests_pause.rs
@@ -1,4 +1,4 @@
-//! A daemon that was frozen and wakes up with an old view.
+//! A daemon whose process was paused by its host and resumes with an outdated view.
 
 mod requests_fixture;
 
@@ -10,20 +10,20 @@
 
 const PEER: Incarnation = Incarnation(0xB);
 
-/// Work goes to an engine that left while the daemon was frozen. After the wake the first thing
-/// read is a caller's request and not a tick, so that the pause isn't noticed at all.
+/// Guards against work being sent to an engine that left during the pause. The first event after the
+/// pause is a caller's request and not a tick, so the pause must be detected on any event.
 #[test]
-fn nothing_is_dispatched_after_a_pause_before_targets_are_heard_from() {
+fn nothing_is_dispatched_after_a_pause_before_targets_have_reported() {
     let mut bench = bench();
     bench.now += 30_000;
 
     let prompt = bench.prompt(1);
-    let woken = bench.submit(prompt);
-    let ticked = bench.pass_with(200, |_| Vec::new());
+    let submitted = bench.submit(prompt);
+    let ticked = bench.advance_with(200, |_| Vec::new());
     bench.report_all();
-    let refreshed = bench.pass(100);
+    let refreshed = bench.advance(100);
 
-    assert!(dispatches(&woken).is_empty() && dispatches(&ticked).is_empty());
+    assert!(dispatches(&submitted).is_empty() && dispatches(&ticked).is_empty());
     assert_eq!(dispatches(&refreshed).len(), 1);
 }
 
@@ -34,32 +34,32 @@
     let prompt = bench.prompt(1);
     bench.submit(prompt);
 
-    let actions = bench.pass_with(1_100, |bench| bench.report("e2", run_of("e2")));
+    let actions = bench.advance_with(1_100, |bench| bench.report("e2", run_of("e2")));
 
     assert_eq!(dispatches(&actions)[0].target.as_str(), "e2");
 }
 
 #[test]
-fn after_a_pause_a_linked_peer_is_heard_from_first() {
+fn nothing_is_dispatched_after_a_pause_before_a_linked_peer_has_sent_a_frame() {
     let mut bench = bench();
     bench.link(PEER);
     bench.now += 30_000;
     let prompt = bench.prompt(1);
     bench.submit(prompt);
 
-    let unheard = bench.pass(500);
+    let before_frame = bench.advance(500);
     bench.event(Event::PeerFrame {
         from: PEER,
         frame: Box::new(PeerFrame::default()),
     });
-    let heard = bench.pass(100);
+    let after_frame = bench.advance(100);
 
-    assert!(dispatches(&unheard).is_empty());
-    assert_eq!(dispatches(&heard).len(), 1);
+    assert!(dispatches(&before_frame).is_empty());
+    assert_eq!(dispatches(&after_frame).len(), 1);
 }
 
 #[test]
-fn what_expired_in_a_pause_is_ended_before_anything_else() {
+fn requests_that_expired_in_a_pause_end_before_anything_else() {
     let mut bench = bench();
     let prompt = bench.prompt(1);
     let request = prompt.request;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn each_dispatch_goes_stale_within_a_second_and_never_after_the_deadline() {
+fn each_dispatch_must_be_sent_within_a_second_and_before_the_deadline() {
     let mut bench = bench();
     for deadline_ms in [200, 60_000] {
         let mut prompt = bench.prompt(deadline_ms);
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn all_targets_are_asked_at_once_after_a_pause() {
+fn all_targets_are_read_immediately_after_a_pause() {
     let mut bench = bench();
     bench.now += 30_000;
 
     let actions = bench.event(Event::Tick);
 
-    let asked = calls(&actions);
-    let reports = asked.iter().filter(|(_, call)| *call == TargetCall::Report);
+    let calls = calls(&actions);
+    let reports = calls.iter().filter(|(_, call)| *call == TargetCall::Report);
     assert!(reports.count() >= ENGINES.len());
 }
--- a/crates/core/tests/requests_retries.rs
+++ b/crates/core/tests/requests_retries.rs
@@ -1,4 +1,4 @@
-//! What retries cost the fleet.
+//! The retry budget, and which requests may be retried.
 
 mod requests_fixture;
 
@@ -11,10 +11,10 @@
     },
 };
 
-/// An outage feeds itself: all engines fail and each request is sent three times, so that the
-/// fleet gets three times the load just when it can bear least.
+/// Guards against retries that amplify an outage: all engines fail, each request is sent three times,
+/// and the fleet gets three times the load when it can handle least.
 #[test]
-fn retries_stay_within_the_budget_and_say_the_true_reason() {
+fn retries_stay_within_the_budget_and_requests_end_with_the_reason_of_the_failure() {
     let fields = r#""retry_budget_per_mille":100"#;
     let mut bench = bench_with(&[policy(fields)]);
     let (mut firsts, mut retries) = (0, 0);
@@ -36,7 +36,7 @@
     assert!(reasons.iter().all(|reason| *reason == Reason::TargetFailed));
 }
 
-/// One account's failing requests use up the retries of all.
+/// Guards against the failing requests of one account using up the retries of all accounts.
 #[test]
 fn one_account_cannot_spend_the_retries_of_another() {
     let mut bench = bench();
@@ -68,9 +68,9 @@
         AttemptEvent::Failed { status: 500 },
     ] {
         let mut bench = bench();
-        let (_, _, flight) = bench.label_in_flight();
+        let (_, _, dispatch) = bench.label_in_flight();
 
-        let actions = bench.attempt(flight.attempt, event);
+        let actions = bench.attempt(dispatch.attempt, event);
 
         assert!(dispatches(&actions).is_empty());
         assert_eq!(finished(&actions)[0].outcome, OutcomeKind::Unknown);
@@ -80,9 +80,9 @@
 #[test]
 fn a_call_that_was_refused_goes_to_another_target() {
     let mut bench = bench();
-    let (_, _, flight) = bench.label_in_flight();
+    let (_, _, dispatch) = bench.label_in_flight();
 
-    let actions = bench.refuse(flight.attempt, RefusalReason::Full);
+    let actions = bench.refuse(dispatch.attempt, RefusalReason::Full);
 
-    assert_ne!(dispatches(&actions)[0].target, flight.target);
+    assert_ne!(dispatches(&actions)[0].target, dispatch.target);
 }
--- a/crates/core/tests/requests_truth.rs
+++ b/crates/core/tests/requests_truth.rs
@@ -1,4 +1,4 @@
-//! What callers are told of attempts that failed, and when.
+//! Outcomes that callers receive for failed attempts, and when they receive them.
 
 mod requests_fixture;
 
@@ -11,9 +11,8 @@
     },
 };
 
-/// A caller is told `not_run` of a prompt that an engine has run. The first engine breaks off in
-/// the midst of the answer, the next ones are full and refuse. The last refusal was taken for the
-/// whole truth.
+/// Guards against `not_run` for a prompt that an engine has run: the first engine breaks off during the
+/// answer, and the next ones refuse because they are full. The last refusal must not decide the outcome.
 #[test]
 fn a_refusal_does_not_hide_an_earlier_attempt_that_may_have_run() {
     let mut bench = bench();
@@ -29,21 +28,21 @@
     assert_eq!(finished(&actions)[0].outcome, OutcomeKind::Unknown);
 }
 
-/// A caller hears `not_run` of a label that was made. The service ran it and died with the answer
-/// unsent; the call was sent again over a fresh connection, and the new run refused it.
+/// Guards against `not_run` for a call that was run: the service ran it and died before it answered. The
+/// call was sent again over a new connection, and the new run of the service refused it.
 #[test]
 fn a_refusal_by_another_run_of_the_target_proves_nothing() {
     let mut bench = bench();
-    let (_, _, flight) = bench.label_in_flight();
+    let (_, _, dispatch) = bench.label_in_flight();
 
-    let actions = bench.refuse(flight.attempt, RefusalReason::OtherIncarnation);
+    let actions = bench.refuse(dispatch.attempt, RefusalReason::OtherIncarnation);
 
     assert!(dispatches(&actions).is_empty());
     assert_eq!(finished(&actions)[0].outcome, OutcomeKind::Unknown);
 }
 
 #[test]
-fn only_refusals_and_unsent_attempts_are_told_as_not_run_with_a_time_to_come_back() {
+fn only_refusals_and_unsent_attempts_end_as_not_run_with_a_retry_time() {
     let mut bench = bench();
     let prompt = bench.prompt(1);
     let mut actions = bench.submit(prompt);
@@ -62,9 +61,9 @@
     assert!(outcome.retry_after_ms.is_some());
 }
 
-/// A caller's request ends as refused though its engine works on it. Answers cross on a reused
-/// connection: the refusal of one attempt comes on the connection of another. The id in the
-/// refusal was believed over the connection's.
+/// Guards against a request that ends as refused while its engine works on it. On a reused connection,
+/// the refusal of one attempt arrives as the answer to another; the refusal must not end the attempt
+/// that it names.
 #[test]
 fn a_crossed_refusal_ends_no_other_request() {
     let mut bench = bench();
@@ -84,15 +83,15 @@
     assert_eq!(finished(&actions)[0].outcome, OutcomeKind::Completed);
 }
 
-/// A request is sent to an engine after its caller's time is over. The daemon is busy, so the
-/// failure of the first attempt is read before the tick that would end the request.
+/// Guards against a retry after the caller's deadline: on a busy daemon, the failure of the first
+/// attempt is handled before the tick that would end the request.
 #[test]
 fn an_event_after_the_deadline_finds_the_request_ended() {
     let mut bench = bench();
     let prompt = bench.prompt(1);
     let actions = bench.submit(prompt);
     let attempt = dispatches(&actions)[0].attempt;
-    bench.pass(59_900);
+    bench.advance(59_900);
     bench.now += 200;
 
     let actions = bench.attempt(attempt, AttemptEvent::NotSent);
@@ -135,7 +134,7 @@
 }
 
 #[test]
-fn an_engine_that_refused_is_not_asked_again_while_another_exists() {
+fn an_engine_that_refused_is_not_tried_again_while_another_exists() {
     let mut bench = bench();
     let prompt = bench.prompt(1);
     let mut actions = bench.submit(prompt);
--- a/crates/core/tests/tickets_once.rs
+++ b/crates/core/tests/tickets_once.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated: one run for each ticket, whatever is sent again.
+//! Requests that must not run twice: one run for each ticket, whatever callers resend.
 
 mod requests_fixture;
 
@@ -14,16 +14,16 @@
 
 const PEER: Incarnation = Incarnation(0xB);
 
-/// A member's label is told as `unknown` though the label service answers a moment later. The
-/// caller's connection breaks while the call runs; the caller sends it again with its ticket.
+/// Guards against `unknown` for a call that completes a moment later: the caller's connection breaks
+/// while the call runs, and the caller resends it with its ticket.
 #[test]
 fn a_resend_in_flight_gets_the_answer_of_the_one_run() {
     let mut bench = bench();
-    let (ticket, first, flight) = bench.label_in_flight();
+    let (ticket, first, dispatch) = bench.label_in_flight();
     let again = bench.label(Some(ticket));
 
     let waits = bench.submit(again.clone());
-    let ended = bench.attempt(flight.attempt, AttemptEvent::Completed);
+    let ended = bench.attempt(dispatch.attempt, AttemptEvent::Completed);
 
     assert!(finished(&waits).is_empty() && dispatches(&waits).is_empty());
     assert_eq!(finished(&ended)[0].request, first);
@@ -33,19 +33,19 @@
 #[test]
 fn a_waiting_resend_ends_by_its_own_deadline_and_the_run_goes_on() {
     let mut bench = bench();
-    let (ticket, first, flight) = bench.label_in_flight();
+    let (ticket, first, dispatch) = bench.label_in_flight();
     let again = Submission {
         deadline_ms: 1_000,
         ..bench.label(Some(ticket))
     };
     bench.submit(again.clone());
 
-    let waited = bench.pass(1_000);
-    let ended = bench.attempt(flight.attempt, AttemptEvent::Completed);
+    let waited = bench.advance(1_000);
+    let ended = bench.attempt(dispatch.attempt, AttemptEvent::Completed);
 
-    let told = &finished(&waited)[0];
+    let outcome = &finished(&waited)[0];
     assert_eq!(
-        (told.request, told.outcome),
+        (outcome.request, outcome.outcome),
         (again.request, OutcomeKind::Unknown)
     );
     assert_eq!(finished(&ended)[0].request, first);
@@ -55,8 +55,8 @@
 #[test]
 fn a_resend_after_the_end_gets_the_kept_answer() {
     let mut bench = bench();
-    let (ticket, _, flight) = bench.label_in_flight();
-    bench.attempt(flight.attempt, AttemptEvent::Completed);
+    let (ticket, _, dispatch) = bench.label_in_flight();
+    bench.attempt(dispatch.attempt, AttemptEvent::Completed);
 
     let again = bench.label(Some(ticket));
     let actions = bench.submit(again);
@@ -65,11 +65,11 @@
     assert!(dispatches(&actions).is_empty());
 }
 
-/// A parcel gets a label though its sender was told that there is none. A first send is held up on
-/// its way to the home. The second finds the service full; the caller hears `not_run` and writes a
-/// label by hand. Then the first arrives, and the service has room.
+/// Guards against a run after `not_run` was reported. The first send is delayed on its way to the home.
+/// The second finds the service full and ends as `not_run`, so the caller takes other measures. Then the
+/// first send arrives, and the service has capacity.
 #[test]
-fn a_send_that_comes_after_not_run_was_said_is_never_run() {
+fn a_send_that_arrives_after_not_run_was_reported_is_never_run() {
     let mut bench = bench();
     let ticket = bench.ticket();
     let refused = bench.label_refused(ticket);
@@ -82,16 +82,16 @@
     assert_eq!(finished(&after)[0].outcome, OutcomeKind::NotRun);
 }
 
-/// The same, but the second send is refused at the door.
+/// As above, but the second send is refused at admission.
 #[test]
-fn a_send_that_comes_after_a_refusal_at_the_door_is_never_run() {
+fn a_send_that_arrives_after_a_refusal_at_admission_is_never_run() {
     let mut bench = bench();
     let ticket = bench.ticket();
-    let hasty = Submission {
+    let invalid = Submission {
         deadline_ms: 0,
         ..bench.label(Some(ticket))
     };
-    let refused = bench.submit(hasty);
+    let refused = bench.submit(invalid);
 
     let late = bench.label(Some(ticket));
     let after = bench.submit(late);
@@ -101,23 +101,23 @@
     assert_eq!(finished(&after)[0].outcome, OutcomeKind::NotRun);
 }
 
-/// A parcel gets no label though its caller sends again as it was told. The service is full and
-/// refuses, the caller hears `not_run`, and the ticket is spent by a run that never was.
+/// Guards against a call that can never run: the full service refuses it, the caller receives `not_run`
+/// and resends as advised, but the ticket counts as used although nothing ran.
 #[test]
-fn a_call_that_was_not_run_gets_a_fresh_ticket_and_runs_once() {
+fn a_call_that_was_not_run_gets_a_new_ticket_and_runs_once() {
     let mut bench = bench();
     let spent = bench.ticket();
     bench.label_refused(spent);
 
     let again = bench.label(Some(spent));
-    let told = bench.submit(again);
-    let fresh = finished(&told)[0]
+    let renewed = bench.submit(again);
+    let fresh = finished(&renewed)[0]
         .ticket
-        .expect("a fresh ticket comes along");
+        .expect("the outcome has a new ticket");
     let label = bench.label(Some(fresh));
     let ran = bench.submit(label);
-    let flight = dispatches(&ran)[0].clone();
-    bench.attempt(flight.attempt, AttemptEvent::Broken { chunks: 0 });
+    let dispatch = dispatches(&ran)[0].clone();
+    bench.attempt(dispatch.attempt, AttemptEvent::Broken { chunks: 0 });
     let third = bench.label(Some(fresh));
     let after = bench.submit(third);
 
@@ -138,17 +138,17 @@
     let actions = bench.submit(other);
 
     assert!(dispatches(&actions).is_empty());
-    let told = &finished(&actions)[0];
+    let outcome = &finished(&actions)[0];
     assert_eq!(
-        (told.outcome, told.reason),
+        (outcome.outcome, outcome.reason),
         (OutcomeKind::NotRun, Reason::BadRequest)
     );
 }
 
-/// One account reads another's label. It names the other's ticket, whose number it has guessed,
-/// and gets the kept answer or spends the ticket.
+/// Guards against an account that guesses the number of another account's ticket and so reads the kept
+/// answer or uses up the ticket.
 #[test]
-fn a_ticket_is_worth_nothing_to_another_account() {
+fn a_ticket_is_useless_to_another_account() {
     let mut bench = bench();
     let ticket = bench.ticket();
     let stolen = Submission {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn one_key_means_one_ticket_and_one_body() {
+fn an_idempotency_key_is_bound_to_one_ticket_and_one_body() {
     let mut bench = bench();
     let keyed = |bench: &mut Bench, fingerprint| Submission {
         idempotency_key: Some("order-7".to_owned()),
@@ -184,10 +184,10 @@
     assert_eq!((other.ticket, other.reason), (None, Reason::BadRequest));
 }
 
-/// A caller gets a second label. It asks again with its key long after the first run; the home
-/// has forgotten the ticket and the key with it, and hands out a new ticket.
+/// Guards against a second run long after the first: a caller resends with its key after the home has
+/// evicted the ticket. If the key were evicted too, the home would issue a new ticket.
 #[test]
-fn a_key_that_was_run_is_never_given_a_second_ticket() {
+fn an_idempotency_key_that_was_used_never_gets_a_second_ticket() {
     let mut bench = bench();
     let keyed = |bench: &mut Bench, ticket| Submission {
         idempotency_key: Some("order-7".to_owned()),
@@ -196,9 +196,9 @@
     let label = keyed(&mut bench, None);
     let ticket = finished(&bench.submit(label))[0].ticket;
     let label = keyed(&mut bench, ticket);
-    let flight = dispatches(&bench.submit(label))[0].clone();
-    bench.attempt(flight.attempt, AttemptEvent::Completed);
-    let forgot = bench.pass(601_000);
+    let dispatch = dispatches(&bench.submit(label))[0].clone();
+    bench.attempt(dispatch.attempt, AttemptEvent::Completed);
+    let expired = bench.advance(601_000);
 
     let label = keyed(&mut bench, None);
     let asked = finished(&bench.submit(label))[0].ticket;
@@ -206,7 +206,7 @@
     let sent = bench.submit(label);
 
     assert!(
-        forgot
+        expired
             .iter()
             .any(|a| matches!(a, Action::ForgetAnswer { ticket: t } if Some(*t) == ticket))
     );
@@ -221,19 +221,19 @@
     let mut refused = None;
     for _ in 0..20_000 {
         let label = bench.label(None);
-        let told = finished(&bench.submit(label))[0].clone();
-        if told.ticket.is_none() {
-            refused = Some(told);
+        let outcome = finished(&bench.submit(label))[0].clone();
+        if outcome.ticket.is_none() {
+            refused = Some(outcome);
             break;
         }
     }
-    let refused = refused.expect("an account can't take tickets without end");
+    let refused = refused.expect("the number of an account's tickets is limited");
     assert_eq!(
         (refused.outcome, refused.reason),
         (OutcomeKind::NotRun, Reason::AccountLimit)
     );
 
-    bench.pass(refused.retry_after_ms.expect("a time to come back") + 50);
+    bench.advance(refused.retry_after_ms.expect("a retry time") + 50);
     let label = bench.label(None);
     assert!(finished(&bench.submit(label))[0].ticket.is_some());
 }
@@ -253,15 +253,15 @@
     }
 }
 
-/// A label is lost though it was paid for. The caller's connection goes silent while the call
-/// runs; the daemon cancels the run, and the resend can only be told `unknown`.
+/// Guards against losing the answer of a call that was run: if the daemon cancelled the run when its
+/// caller disconnects, the resend could only end as `unknown`.
 #[test]
-fn a_run_under_a_ticket_goes_on_when_its_caller_goes() {
+fn a_run_under_a_ticket_continues_when_its_caller_disconnects() {
     let mut bench = bench();
-    let (ticket, request, flight) = bench.label_in_flight();
+    let (ticket, request, dispatch) = bench.label_in_flight();
 
     let gone = bench.event(Event::CallerGone { request });
-    bench.attempt(flight.attempt, AttemptEvent::Completed);
+    bench.attempt(dispatch.attempt, AttemptEvent::Completed);
     let again = bench.label(Some(ticket));
     let actions = bench.submit(again);
 
@@ -273,13 +273,13 @@
     assert_eq!(replayed(&actions)[0].outcome, OutcomeKind::Completed);
 }
 
-/// A caller hears `not_run` of a label that was made, and asks for another. Its resend has a bad
-/// deadline and is refused before anyone looks at the ticket.
+/// Guards against `not_run` for a call that was run, after which the caller would request it anew: a
+/// resend with an invalid deadline is refused before its ticket is claimed.
 #[test]
-fn a_resend_refused_at_the_door_is_not_told_as_not_run() {
+fn a_resend_refused_at_admission_does_not_end_as_not_run() {
     let mut bench = bench();
-    let (ticket, _, flight) = bench.label_in_flight();
-    bench.attempt(flight.attempt, AttemptEvent::Completed);
+    let (ticket, _, dispatch) = bench.label_in_flight();
+    bench.attempt(dispatch.attempt, AttemptEvent::Completed);
     let again = Submission {
         deadline_ms: 0,
         ..bench.label(Some(ticket))
@@ -287,22 +287,22 @@
 
     let actions = bench.submit(again);
 
-    let told = &finished(&actions)[0];
+    let outcome = &finished(&actions)[0];
     assert_eq!(
-        (told.outcome, told.reason),
+        (outcome.outcome, outcome.reason),
         (OutcomeKind::Unknown, Reason::BadDeadline)
     );
 }
 
 #[test]
-fn a_ticket_whose_home_is_gone_is_unknown() {
+fn a_request_under_a_ticket_whose_home_is_dead_ends_as_unknown() {
     let mut bench = bench();
     bench.link(PEER);
     let ticket = Ticket {
         home: PEER,
         number: 5,
     };
-    bench.tell_member(PEER, PEER, MemberState::Dead);
+    bench.member_news(PEER, PEER, MemberState::Dead);
 
     let label = bench.label(Some(ticket));
     let actions = bench.submit(label);
@@ -311,8 +311,8 @@
     assert_eq!(finished(&actions)[0].outcome, OutcomeKind::Unknown);
 }
 
-/// A caller waits past its deadline. Its request was passed on to the ticket's home, and the home
-/// is frozen: no answer comes and nobody here watches the time.
+/// Guards against a caller that waits past its deadline: its request was forwarded to the home of its
+/// ticket, whose process is paused and sends no answer.
 #[test]
 fn a_forwarded_request_ends_by_its_deadline() {
     let mut bench = bench();
@@ -327,7 +327,7 @@
     };
 
     let passed = bench.submit(label);
-    let waited = bench.pass(1_000);
+    let waited = bench.advance(1_000);
 
     assert!(
         passed
