--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -2,4 +2,4 @@
 
 mod authorize;
 
-pub use authorize::{Refused, authorize, is_idempotent};
+pub use authorize::{AdmissionError, authorize, is_idempotent};
--- a/crates/core/src/admission/authorize.rs
+++ b/crates/core/src/admission/authorize.rs
@@ -13,7 +13,7 @@
 
 /// Reason for which a request is refused at admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum AdmissionError {
     /// The account is unknown, or the key isn't one of its keys.
     #[error("the account is not known or the key is wrong: check both")]
     Unauthorized,
@@ -25,7 +25,7 @@
     NotAllowed,
 }
 
-impl Refused {
+impl AdmissionError {
     /// Returns the reason code that the caller receives.
     pub fn reason(self) -> Reason {
         match self {
@@ -39,21 +39,21 @@
 /// Authenticates a request and returns the key and body of the route that allows it.
 ///
 /// # Errors
-/// [`Refused`] if the account, its key, the caller or the routes don't allow the request.
+/// [`AdmissionError`] if the account, its key, the caller or the routes don't allow the request.
 pub fn authorize<'a>(
     in_force: &'a InForce,
     submission: &Submission,
-) -> Result<(&'a RecordKey, &'a RouteRecord), Refused> {
+) -> Result<(&'a RecordKey, &'a RouteRecord), AdmissionError> {
     let account = in_force
         .account(&submission.account)
-        .ok_or(Refused::Unauthorized)?;
+        .ok_or(AdmissionError::Unauthorized)?;
     if !account.key_sha256.contains(&submission.key_sha256) {
-        return Err(Refused::Unauthorized);
+        return Err(AdmissionError::Unauthorized);
     }
     let caller = submission.caller.as_ref();
     let listed = caller.is_some_and(|caller| account.callers.contains(caller));
     if !account.callers.is_empty() && !listed {
-        return Err(Refused::NotAllowed);
+        return Err(AdmissionError::NotAllowed);
     }
     let (route, known) = match &submission.work {
         Work::Prompt { model, adapter, .. } => (
@@ -67,8 +67,8 @@
     };
     match route {
         Some(route) => Ok(route),
-        None if known => Err(Refused::NotAllowed),
-        None => Err(Refused::Unknown),
+        None if known => Err(AdmissionError::NotAllowed),
+        None => Err(AdmissionError::Unknown),
     }
 }
 
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -23,14 +23,16 @@
 use {
     crate::{
         action::Action,
-        decisions::{Decision, DecisionBook, Part},
+        decisions::{Decision, DecisionHistory, Subsystem},
         event::Event,
         fleet::{Members, Targets},
-        orders::Orderer,
+        orders::OrderPlanner,
         peers::{Links, RecordPulls},
         placement::Groups,
         records::{PlatformReader, RecordStore},
-        requests::{HoldingWatch, PoisonBook, Refresh, RequestTable, RetryBudget, TicketBook},
+        requests::{
+            LeakDetector, PoisonTracker, RequestTable, ResumeRefresh, RetryBudget, TicketTable,
+        },
         routing::Router,
         time::MonoMs,
     },
@@ -50,7 +52,7 @@
     last_event: MonoMs,
     leaving_since: Option<MonoMs>,
     stopped: bool,
-    refresh: Option<Refresh>,
+    refresh: Option<ResumeRefresh>,
     next_orders: MonoMs,
     next_sweep: MonoMs,
     rng: fastrand::Rng,
@@ -65,12 +67,12 @@
     router: Router,
     groups: Groups,
     requests: RequestTable,
-    tickets: TicketBook,
+    tickets: TicketTable,
     retries: RetryBudget,
-    poison: PoisonBook,
-    holdings: HoldingWatch,
-    orderer: Orderer,
-    book: DecisionBook,
+    poison: PoisonTracker,
+    holdings: LeakDetector,
+    orderer: OrderPlanner,
+    book: DecisionHistory,
     untold: Vec<TargetName>,
     load_number: u64,
     restated: MonoMs,
@@ -100,13 +102,13 @@
             router: Router::default(),
             groups: Groups::default(),
             requests: RequestTable::default(),
-            tickets: TicketBook::new(options.incarnation, rng.u64(..)),
+            tickets: TicketTable::new(options.incarnation, rng.u64(..)),
             retries: RetryBudget::default(),
-            poison: PoisonBook::default(),
-            holdings: HoldingWatch::default(),
-            orderer: Orderer::default(),
+            poison: PoisonTracker::default(),
+            holdings: LeakDetector::default(),
+            orderer: OrderPlanner::default(),
             rng,
-            book: DecisionBook::default(),
+            book: DecisionHistory::default(),
             untold: Vec::new(),
             load_number: 0,
             restated: now,
@@ -139,13 +141,19 @@
         self.actions.push(action);
     }
 
-    fn decide(&mut self, now: MonoMs, part: Part, request: Option<RequestId>, text: String) {
+    fn decide(
+        &mut self,
+        now: MonoMs,
+        subsystem: Subsystem,
+        request: Option<RequestId>,
+        text: String,
+    ) {
         let decision = Decision {
-            part,
+            subsystem,
             request,
             text,
         };
-        self.book.note(now, &decision);
+        self.book.record(now, &decision);
         self.act(Action::Decided(decision));
     }
 
--- a/crates/core/src/core/on_attempt.rs
+++ b/crates/core/src/core/on_attempt.rs
@@ -4,9 +4,9 @@
     super::Core,
     crate::{
         action::{Action, TargetCall},
-        decisions::Part,
+        decisions::Subsystem,
         event::AttemptEvent,
-        requests::{AttemptEnd, Flight, Phase},
+        requests::{AttemptEnd, InFlightAttempt, Phase},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -31,7 +31,7 @@
         match event {
             AttemptEvent::FirstChunk => {
                 self.note_read(now, request, attempt);
-                self.requests.first_chunk(request);
+                self.requests.mark_first_chunk(request);
             }
             AttemptEvent::Completed => self.on_completed(now, request, attempt),
             AttemptEvent::NotSent => {
@@ -94,8 +94,12 @@
         self.try_again(now, request, reason, message);
     }
 
-    pub(super) fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) -> Option<Flight> {
-        let flight = self.requests.attempt_ended(attempt, end)?;
+    pub(super) fn end_attempt(
+        &mut self,
+        attempt: AttemptId,
+        end: AttemptEnd,
+    ) -> Option<InFlightAttempt> {
+        let flight = self.requests.end_attempt(attempt, end)?;
         self.left_target(&flight);
         Some(flight)
     }
@@ -107,7 +111,7 @@
         }
     }
 
-    fn left_target(&mut self, flight: &Flight) {
+    fn left_target(&mut self, flight: &InFlightAttempt) {
         self.forget_load(flight);
         if let Some(state) = self.targets.get_mut(&flight.target) {
             state.in_flight = state.in_flight.saturating_sub(1);
@@ -131,14 +135,17 @@
             return;
         }
         let per_mille = self.records.in_force().policy().retry_budget_per_mille;
-        if !self.retries.take(now, &entry.submission.account, per_mille) {
+        if !self
+            .retries
+            .try_take(now, &entry.submission.account, per_mille)
+        {
             let text = "not tried again: the retry budget is spent".to_owned();
-            self.decide(now, Part::Requests, Some(request), text);
+            self.decide(now, Subsystem::Requests, Some(request), text);
             self.give_up(now, request, reason, message);
             return;
         }
         let text = format!("tried again: {message}");
-        self.decide(now, Part::Requests, Some(request), text);
+        self.decide(now, Subsystem::Requests, Some(request), text);
         self.route(now, request);
     }
 
@@ -148,11 +155,11 @@
         };
         // A run that can't be had again isn't thrown away: its caller, or the one who passed it
         // on, asks again with the ticket and gets the outcome.
-        let runs_once = !entry.idempotent && entry.flight().is_some();
+        let runs_once = !entry.idempotent && entry.in_flight_attempt().is_some();
         if runs_once {
-            self.requests.caller_gone(request);
+            self.requests.mark_caller_gone(request);
             let text = "the caller went away, the run goes on".to_owned();
-            self.decide(now, Part::Requests, Some(request), text);
+            self.decide(now, Subsystem::Requests, Some(request), text);
             return;
         }
         self.give_up(now, request, Reason::CallerGone, "the caller went away");
@@ -173,7 +180,7 @@
         let repeat =
             kind == OutcomeKind::NotRun || entry.idempotent || may_ask_again(entry.phase());
         let retry_after_ms = retry_after_ms(reason).filter(|_| repeat);
-        if let Some(flight) = entry.flight().cloned() {
+        if let Some(flight) = entry.in_flight_attempt().cloned() {
             self.cancel(&flight);
         }
         self.finish(now, request, kind, reason, message, retry_after_ms);
@@ -188,7 +195,7 @@
     }
 
     /// Stops an attempt here and at its target.
-    pub(super) fn cancel(&mut self, flight: &Flight) {
+    pub(super) fn cancel(&mut self, flight: &InFlightAttempt) {
         self.act(Action::Abandon {
             attempt: flight.attempt,
         });
@@ -210,12 +217,12 @@
     pub(super) fn finish_with(&mut self, now: MonoMs, outcome: &Outcome) {
         self.release_group(outcome.request);
         let entry = self.requests.remove(outcome.request);
-        if let Some(flight) = entry.as_ref().and_then(|entry| entry.flight()) {
+        if let Some(flight) = entry.as_ref().and_then(|entry| entry.in_flight_attempt()) {
             self.left_target(flight);
         }
-        self.book.close(outcome);
+        self.book.set_outcome(outcome);
         let text = format!("ended {}: {}", outcome.outcome, outcome.message);
-        self.decide(now, Part::Requests, Some(outcome.request), text);
+        self.decide(now, Subsystem::Requests, Some(outcome.request), text);
         self.act(Action::Finish(outcome.clone()));
         if let Some(entry) = entry {
             self.settle_ticket(now, &entry, outcome);
--- a/crates/core/src/core/on_group.rs
+++ b/crates/core/src/core/on_group.rs
@@ -4,13 +4,14 @@
     super::Core,
     crate::{
         action::{Action, TargetCall},
-        decisions::Part as DecisionPart,
+        decisions::Subsystem,
         fleet::Claim,
         placement::{
-            ChosenGroup, DueGroup, Group, GroupState, NoGroup, Part, RESERVE_WITHIN_MS, Waiter,
+            ChosenGroup, DueGroup, Group, GroupError, GroupState, Part, RESERVE_TIMEOUT_MS,
+            WaitingPrompt,
         },
         requests::Request,
-        routing::{Ask, Scene, choice},
+        routing::{RoutingContext, RoutingRequest, predict_choice},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -42,14 +43,15 @@
             return;
         };
         let policy = self.records.in_force().policy();
-        let ask = Ask::new(&entry.submission.work, &entry.route, &avoided, policy).alone(alone);
-        let scene = Scene {
+        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &avoided, policy)
+            .alone(alone);
+        let scene = RoutingContext {
             now,
             in_force: self.records.in_force(),
             targets: &self.targets,
             daemons: self.members.alive().count() + 1,
         };
-        let waiter = Waiter {
+        let waiter = WaitingPrompt {
             since: self.rank_of(entry),
             claim: group.claim,
         };
@@ -59,22 +61,22 @@
         match chosen {
             Ok(chosen) => {
                 self.claim(now, request, &mut group, waiter, &chosen);
-                if chosen.now {
+                if chosen.starts_now {
                     self.acquire(now, request, group, chosen);
                 } else {
                     self.wait(now, request, group);
                 }
             }
-            Err(NoGroup::NoneLive) => {
-                let message = NoGroup::NoneLive.to_string();
+            Err(GroupError::NoneLive) => {
+                let message = GroupError::NoneLive.to_string();
                 let retry = Some(NONE_LIVE_RETRY_MS);
                 let kind = self.kind_now(request);
                 self.unclaim(&group);
                 self.finish(now, request, kind, Reason::NoTarget, &message, retry);
             }
-            Err(NoGroup::TooLong) => {
+            Err(GroupError::TooLong) => {
                 self.unclaim(&group);
-                let message = NoGroup::TooLong.to_string();
+                let message = GroupError::TooLong.to_string();
                 self.give_up(now, request, Reason::PromptTooLong, &message);
             }
         }
@@ -84,7 +86,7 @@
     /// read, the earlier that moment, since its place among the others costs them least.
     fn rank_of(&self, entry: &Request) -> MonoMs {
         let policy = self.records.in_force().policy();
-        let ask = Ask::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let read_ms = ask.prompt_tokens() as f64 * 0.05;
         let ahead_ms = read_ms * LONGEST_FIRST * policy.long_first_token_weight;
         MonoMs(entry.accepted.0.saturating_sub(ahead_ms as u64))
@@ -96,14 +98,14 @@
             self.release_parts(&group);
             return Some(Group {
                 parts: Vec::new(),
-                state: GroupState::Waiting { due: now },
+                state: GroupState::Waiting { retry_at: now },
                 ..group
             });
         }
         let claim = self.draw_attempt();
         let entry = self.requests.get(request)?;
         let policy = self.records.in_force().policy();
-        let ask = Ask::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let provider = self.router.draw_provider(&ask, &mut self.rng);
         Some(Group::new(now, claim, provider))
     }
@@ -114,14 +116,14 @@
         now: MonoMs,
         request: RequestId,
         group: &mut Group,
-        waiter: Waiter,
+        waiter: WaitingPrompt,
         chosen: &ChosenGroup,
     ) {
         if group.claimed != chosen.targets {
             let names: Vec<&str> = chosen.targets.iter().map(TargetName::as_str).collect();
             let names = names.join(", ");
             let text = format!("claims {names}, free in {:.0} ms", chosen.wait_ms);
-            self.decide(now, DecisionPart::Placement, Some(request), text);
+            self.decide(now, Subsystem::Placement, Some(request), text);
             self.unclaim(group);
             self.untold.extend(chosen.targets.iter().cloned());
             group.claimed.clone_from(&chosen.targets);
@@ -150,8 +152,8 @@
     /// Tries again soon, with jitter so that daemons that collided don't do so again.
     fn wait(&mut self, now: MonoMs, request: RequestId, mut group: Group) {
         let full_ms = (BACK_OFF_MS << group.tries.min(8)).min(MAX_BACK_OFF_MS);
-        let due = now + self.rng.u64(full_ms / 2..=full_ms);
-        group.state = GroupState::Waiting { due };
+        let retry_at = now + self.rng.u64(full_ms / 2..=full_ms);
+        group.state = GroupState::Waiting { retry_at };
         self.groups.insert(request, group);
     }
 
@@ -174,7 +176,7 @@
             chosen.part_tokens,
             group.tries + 1
         );
-        self.decide(now, DecisionPart::Placement, Some(request), text);
+        self.decide(now, Subsystem::Placement, Some(request), text);
         group.part_tokens = chosen.part_tokens;
         group.parts = chosen
             .targets
@@ -183,7 +185,7 @@
             .collect();
         group.state = GroupState::Acquiring {
             next: 0,
-            asked: now,
+            requested_at: now,
         };
         self.groups.insert(request, group);
         self.ask_next(now, request);
@@ -193,7 +195,7 @@
         let Some(group) = self.groups.get(request) else {
             return;
         };
-        let Some(part) = group.asked().cloned() else {
+        let Some(part) = group.pending_part().cloned() else {
             return;
         };
         self.reserve(now, request, &part);
@@ -205,13 +207,13 @@
         let Some(group) = self.groups.get(request) else {
             return;
         };
-        let reserve = group.ask(part, self.options.incarnation);
+        let reserve = group.reserve_request(part, self.options.incarnation);
         self.act(Action::Call {
             target: part.target.clone(),
             address: part.address,
             call: TargetCall::Reserve {
                 reserve,
-                send_before: now + RESERVE_WITHIN_MS,
+                send_before: now + RESERVE_TIMEOUT_MS,
             },
         });
     }
@@ -226,7 +228,7 @@
             return;
         };
         if group
-            .asked()
+            .pending_part()
             .is_none_or(|part| part.reservation != reservation)
         {
             return;
@@ -251,12 +253,12 @@
             return;
         };
         let policy = self.records.in_force().policy();
-        let ask = Ask::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let choices = group
             .parts
             .iter()
             .filter_map(|part| Some((part, self.targets.get(&part.target)?)))
-            .map(|(part, state)| choice(now, state, &ask, &part.target, group.parts.len()));
+            .map(|(part, state)| predict_choice(now, state, &ask, &part.target, group.parts.len()));
         let leader = choices.min_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms));
         let Some(leader) = leader else {
             return;
@@ -266,7 +268,7 @@
             group.parts.len(),
             leader.target
         );
-        self.decide(now, DecisionPart::Placement, Some(request), text);
+        self.decide(now, Subsystem::Placement, Some(request), text);
         self.unclaim(&group);
         self.dispatch(now, request, &leader);
     }
@@ -294,7 +296,10 @@
 
     /// A renewal failed: the engine was replaced or the hold ended, so the prompt can't be whole.
     fn on_part_lost(&mut self, now: MonoMs, request: RequestId, text: &str) {
-        let flight = self.requests.get(request).and_then(|e| e.flight());
+        let flight = self
+            .requests
+            .get(request)
+            .and_then(|e| e.in_flight_attempt());
         let Some(attempt) = flight.map(|flight| flight.attempt) else {
             self.place(now, request);
             return;
@@ -309,7 +314,7 @@
         };
         group.tries += 1;
         let text = format!("put off: {text}");
-        self.decide(now, DecisionPart::Placement, Some(request), text);
+        self.decide(now, Subsystem::Placement, Some(request), text);
         self.wait(now, request, group);
     }
 
@@ -332,7 +337,7 @@
         let Some(group) = self.groups.get_mut(request) else {
             return;
         };
-        group.renewed(now);
+        group.mark_reserved(now);
         for part in group.parts.clone() {
             self.reserve(now, request, &part);
         }
--- a/crates/core/src/core/on_holdings.rs
+++ b/crates/core/src/core/on_holdings.rs
@@ -4,9 +4,9 @@
     super::Core,
     crate::{
         action::TargetCall,
-        decisions::Part,
-        orders::place_of,
-        requests::{Fault, is_overdue},
+        decisions::Subsystem,
+        orders::rank_of,
+        requests::{LeakCause, is_overdue},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -19,7 +19,7 @@
 impl Core {
     /// Frees what a report shows to be held by nobody.
     pub(super) fn watch_holdings(&mut self, now: MonoMs, target: &TargetName, load: &LoadReport) {
-        let faults: Vec<(&Holding, Fault)> = load
+        let faults: Vec<(&Holding, LeakCause)> = load
             .holdings
             .iter()
             .filter_map(|holding| Some((holding, self.fault_of(holding)?)))
@@ -27,35 +27,35 @@
         let place = if faults.is_empty() {
             0
         } else {
-            place_of(
+            rank_of(
                 self.options.incarnation,
                 &self.alive_peers(),
                 target.as_str(),
             )
         };
-        for holding in self.holdings.report(now, target, &faults, place) {
+        for holding in self.holdings.on_report(now, target, &faults, place) {
             let text = format!("{target} is to free {}", holding.attempt);
-            self.decide(now, Part::Requests, None, text);
+            self.decide(now, Subsystem::Requests, None, text);
             self.call(target.clone(), freeing(&holding));
         }
     }
 
-    fn fault_of(&self, holding: &Holding) -> Option<Fault> {
+    fn fault_of(&self, holding: &Holding) -> Option<LeakCause> {
         let known = if holding.reservation {
             self.groups.of_reservation(holding.attempt).is_some()
         } else {
             self.requests.of_attempt(holding.attempt).is_some()
         };
         if holding.owner == self.options.incarnation && !known {
-            return Some(Fault::Over);
+            return Some(LeakCause::RequestEnded);
         }
         if is_overdue(holding) {
-            return Some(Fault::Overdue);
+            return Some(LeakCause::Overdue);
         }
         let owner = self.members.get(holding.owner);
         owner
             .is_some_and(|member| member.news.state == MemberState::Dead)
-            .then_some(Fault::OwnerDead)
+            .then_some(LeakCause::OwnerDead)
     }
 }
 
--- a/crates/core/src/core/on_load.rs
+++ b/crates/core/src/core/on_load.rs
@@ -5,8 +5,8 @@
     crate::{
         action::Action,
         fleet::Job,
-        requests::{Flight, Request},
-        routing::{Ask, Choice, Weight, tokens_of},
+        requests::{InFlightAttempt, Request},
+        routing::{Choice, RoutingRequest, Weight, tokens_of},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -24,7 +24,7 @@
     /// Priority of a request at an engine.
     pub(super) fn priority_of(&self, entry: &Request) -> u8 {
         let policy = self.records.in_force().policy();
-        let ask = Ask::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         ask.priorities.at(ask.weight)
     }
 
@@ -40,7 +40,7 @@
             return;
         };
         let policy = self.records.in_force().policy();
-        let ask = Ask::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let group = self.groups.get(request);
         let job = Job {
             attempt,
@@ -69,13 +69,17 @@
             self.untold.extend(touched);
         }
         if job.weight < Weight::Long {
-            self.router.note_small(now, job.read_ms);
+            self.router.record_short_prompt(now, job.read_ms);
         }
     }
 
     /// Notes the first token of an attempt and learns from it.
     pub(super) fn note_read(&mut self, now: MonoMs, request: RequestId, attempt: AttemptId) {
-        let Some(flight) = self.requests.get(request).and_then(|e| e.flight().cloned()) else {
+        let Some(flight) = self
+            .requests
+            .get(request)
+            .and_then(|e| e.in_flight_attempt().cloned())
+        else {
             return;
         };
         let Some(state) = self.targets.get_mut(&flight.target) else {
@@ -88,7 +92,7 @@
     }
 
     /// Forgets what waits for an attempt, at its target and at the others of its group.
-    pub(super) fn forget_load(&mut self, flight: &Flight) {
+    pub(super) fn forget_load(&mut self, flight: &InFlightAttempt) {
         for target in [&flight.target].into_iter().chain(&flight.helpers) {
             let state = self.targets.get_mut(target);
             let ended = state.and_then(|state| state.load.ended(flight.attempt));
--- a/crates/core/src/core/on_order.rs
+++ b/crates/core/src/core/on_order.rs
@@ -4,8 +4,8 @@
     super::Core,
     crate::{
         action::{Action, TargetCall},
-        decisions::Part,
-        orders::{Duty, Step, first_of},
+        decisions::Subsystem,
+        orders::{DesiredState, OrderStep, highest_ranked},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -39,20 +39,20 @@
             .steps(now, &duties, |target| records.revision_of_target(target));
         for step in steps {
             match step {
-                Step::Read(target) => self.call(target, TargetCall::State),
-                Step::Order(target, order) => self.send_order(now, target, order),
+                OrderStep::Read(target) => self.call(target, TargetCall::State),
+                OrderStep::Order(target, order) => self.send_order(now, target, order),
             }
         }
     }
 
     pub(super) fn on_state(&mut self, now: MonoMs, target: &TargetName, state: EngineState) {
-        self.orderer.read(now, target, state);
+        self.orderer.on_state(now, target, state);
     }
 
     pub(super) fn on_ordered(&mut self, now: MonoMs, target: &TargetName, verdict: OrderVerdict) {
-        self.orderer.answered(target);
+        self.orderer.on_order_answered(target);
         let text = format!("{target} answers the order: {verdict:?}");
-        self.decide(now, Part::Orders, None, text);
+        self.decide(now, Subsystem::Orders, None, text);
     }
 
     fn send_order(&mut self, now: MonoMs, target: TargetName, order: Order) {
@@ -60,7 +60,7 @@
             "{target} is ordered to the state of revision {}",
             order.fence
         );
-        self.decide(now, Part::Orders, None, text);
+        self.decide(now, Subsystem::Orders, None, text);
         let send_before = now + SEND_WITHIN_MS;
         self.call(target, TargetCall::Order { order, send_before });
     }
@@ -78,20 +78,20 @@
     }
 
     /// The engines for which this daemon ranks first among those that give orders.
-    fn duties(&self) -> Vec<Duty> {
+    fn duties(&self) -> Vec<DesiredState> {
         let own = self.options.incarnation;
         let mut alive = self.alive_peers();
         if self.leaving_since.is_none() {
             alive.push(own);
         }
-        let orderers = first_of(&alive, ORDERERS_KEY, ORDERERS);
+        let orderers = highest_ranked(&alive, ORDERERS_KEY, ORDERERS);
         if !orderers.contains(&own) {
             return Vec::new();
         }
         let in_force = self.records.in_force();
         in_force
             .targets()
-            .filter(|record| first_of(&orderers, record.target.as_str(), 1) == [own])
+            .filter(|record| highest_ranked(&orderers, record.target.as_str(), 1) == [own])
             .filter_map(duty_of)
             .collect()
     }
@@ -106,11 +106,11 @@
     }
 }
 
-fn duty_of(record: &TargetRecord) -> Option<Duty> {
+fn duty_of(record: &TargetRecord) -> Option<DesiredState> {
     let TargetRole::Engine { models, .. } = &record.role else {
         return None;
     };
-    Some(Duty {
+    Some(DesiredState {
         target: record.target.clone(),
         models: models.clone(),
     })
--- a/crates/core/src/core/on_peer.rs
+++ b/crates/core/src/core/on_peer.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Core,
-    crate::{decisions::Part, fleet::Told, time::MonoMs},
+    crate::{decisions::Subsystem, fleet::Told, time::MonoMs},
     std::net::SocketAddr,
     whinlatch_wire::{
         ids::Incarnation,
@@ -17,7 +17,7 @@
         self.links.opened(now, peer, hello.peer_address);
         self.pulls.closed(peer);
         let text = format!("link to {} is open", hello.instance);
-        self.decide(now, Part::Peers, None, text);
+        self.decide(now, Subsystem::Peers, None, text);
         self.tell_members(superseded);
         self.introduce(peer);
         self.beat(now);
@@ -84,7 +84,7 @@
                 Told::Refuted => self.tell_members(vec![self.members.own().clone()]),
                 Told::Superseded => {
                     let text = "another run has taken this one's place".to_owned();
-                    self.decide(now, Part::Fleet, None, text);
+                    self.decide(now, Subsystem::Fleet, None, text);
                     self.on_stop(now);
                 }
             }
@@ -115,7 +115,7 @@
         let mut told = self.members.tick(now);
         for news in &told {
             let text = format!("{} is held to be {:?}", news.instance, news.state);
-            self.decide(now, Part::Fleet, None, text);
+            self.decide(now, Subsystem::Fleet, None, text);
         }
         if self.leaving_since.is_some() {
             told.extend(self.members.leave());
--- a/crates/core/src/core/on_platform.rs
+++ b/crates/core/src/core/on_platform.rs
@@ -4,7 +4,7 @@
     super::Core,
     crate::{
         action::Action,
-        decisions::Part,
+        decisions::Subsystem,
         event::PlatformEvent,
         fleet::Watchers,
         records::{Absent, FullRead, PlatformRead, ReaderRole},
@@ -78,7 +78,7 @@
             Absent::Stale => self.platform.read_all_again(),
             Absent::Deleted(tombstones) => {
                 let text = format!("the platform no longer names {} records", tombstones.len());
-                self.decide(now, Part::Records, None, text);
+                self.decide(now, Subsystem::Records, None, text);
                 self.merge_records(now, &tombstones, None);
             }
         }
@@ -105,7 +105,7 @@
                 continue;
             }
             let text = format!("{} is leaving, says the list", listed.target);
-            self.decide(now, Part::Fleet, None, text);
+            self.decide(now, Subsystem::Fleet, None, text);
             news.targets.push(TargetNews {
                 target: listed.target.clone(),
                 incarnation: listed.incarnation,
--- a/crates/core/src/core/on_poison.rs
+++ b/crates/core/src/core/on_poison.rs
@@ -4,9 +4,9 @@
     super::Core,
     crate::{
         action::Action,
-        decisions::Part,
+        decisions::Subsystem,
         fleet::{TargetState, Targets},
-        requests::{Fate, Request, Standing},
+        requests::{Request, RunStatus, Suspicion},
         routing::serves,
         time::MonoMs,
     },
@@ -23,18 +23,20 @@
     pub(super) fn broke_off(&mut self, now: MonoMs, attempt: AttemptId) {
         let request = self.requests.of_attempt(attempt);
         let entry = request.and_then(|request| self.requests.get(request));
-        let Some(flight) = entry.and_then(Request::flight).cloned() else {
+        let Some(flight) = entry.and_then(Request::in_flight_attempt).cloned() else {
             return;
         };
         let in_flight: Vec<u64> = self
             .requests
             .at_target(&flight.target)
-            .filter(|entry| entry.flight().map(|f| f.incarnation) == Some(flight.incarnation))
+            .filter(|entry| {
+                entry.in_flight_attempt().map(|f| f.incarnation) == Some(flight.incarnation)
+            })
             .map(|entry| entry.submission.fingerprint)
             .collect();
         let others = self.others_at(&flight.target, in_flight.len());
         let fingerprints = in_flight.into_iter();
-        self.poison.broke_off(
+        self.poison.record_broken_attempt(
             now,
             &flight.target,
             flight.incarnation,
@@ -54,7 +56,7 @@
         let Some(entry) = self.requests.get(request) else {
             return;
         };
-        if let Some(news) = self.poison.completed(entry.submission.fingerprint) {
+        if let Some(news) = self.poison.clear_completed(entry.submission.fingerprint) {
             self.tell_poison(vec![news]);
         }
     }
@@ -64,11 +66,11 @@
         let targets = &self.targets;
         let news = self
             .poison
-            .settle(now, |target, run| fate_of(targets, target, run));
+            .resolve_crashes(now, |target, run| fate_of(targets, target, run));
         for told in &news {
             let deaths = told.deaths.len();
             let text = format!("{:x} was at {deaths} targets that died", told.fingerprint);
-            self.decide(now, Part::Requests, None, text);
+            self.decide(now, Subsystem::Requests, None, text);
         }
         self.tell_poison(news);
     }
@@ -100,19 +102,26 @@
             return false;
         }
         match self.standing(now, request) {
-            Standing::Suspect if self.twin_in_flight(request) => {
+            Suspicion::Suspected if self.twin_in_flight(request) => {
                 self.hold(now, request, "a suspect, and the same runs elsewhere");
                 false
             }
-            Standing::Clear | Standing::Suspect => true,
-            Standing::InDoubt => {
+            Suspicion::Clear | Suspicion::Suspected => true,
+            Suspicion::Unconfirmed => {
                 self.hold(now, request, "targets may have died of it");
                 false
             }
-            Standing::Poison { keep_ms } => {
+            Suspicion::Poison { remaining_ms } => {
                 let kind = self.kind_now(request);
                 let message = "targets died of this request: change it or come back later";
-                self.finish(now, request, kind, Reason::Poison, message, Some(keep_ms));
+                self.finish(
+                    now,
+                    request,
+                    kind,
+                    Reason::Poison,
+                    message,
+                    Some(remaining_ms),
+                );
                 false
             }
         }
@@ -120,7 +129,7 @@
 
     /// Whether a request is a suspect and must be the only one at its target.
     pub(super) fn runs_alone(&self, now: MonoMs, request: RequestId) -> bool {
-        self.standing(now, request) != Standing::Clear
+        self.standing(now, request) != Suspicion::Clear
     }
 
     /// Targets that the request is to avoid if another exists: those it was tried at; and, where
@@ -200,23 +209,25 @@
     fn hold(&mut self, now: MonoMs, request: RequestId, why: &str) {
         if self.requests.hold(request) {
             let text = format!("waits: {why}");
-            self.decide(now, Part::Requests, Some(request), text);
+            self.decide(now, Subsystem::Requests, Some(request), text);
         }
     }
 
-    fn standing(&self, now: MonoMs, request: RequestId) -> Standing {
+    fn standing(&self, now: MonoMs, request: RequestId) -> Suspicion {
         let limit = self.records.in_force().policy().poison_targets;
-        self.requests.get(request).map_or(Standing::Clear, |entry| {
-            self.poison
-                .standing(now, entry.submission.fingerprint, limit)
-        })
+        self.requests
+            .get(request)
+            .map_or(Suspicion::Clear, |entry| {
+                self.poison
+                    .suspicion(now, entry.submission.fingerprint, limit)
+            })
     }
 
     fn has_suspect(&self, now: MonoMs, target: &TargetName) -> bool {
         let limit = self.records.in_force().policy().poison_targets;
         self.requests.at_target(target).any(|entry| {
             let fingerprint = entry.submission.fingerprint;
-            self.poison.standing(now, fingerprint, limit) != Standing::Clear
+            self.poison.suspicion(now, fingerprint, limit) != Suspicion::Clear
         })
     }
 
@@ -232,11 +243,11 @@
 }
 
 /// What became of a run of a target, as far as is known.
-fn fate_of(targets: &Targets, target: &TargetName, run: Incarnation) -> Fate {
+fn fate_of(targets: &Targets, target: &TargetName, run: Incarnation) -> RunStatus {
     match targets.get(target) {
-        None => Fate::Unsure,
-        Some(state) if state.incarnation != Some(run) => Fate::Dead,
-        Some(state) if state.health == TargetHealth::Gone => Fate::Dead,
-        Some(state) => Fate::Alive(state.reported),
+        None => RunStatus::Unknown,
+        Some(state) if state.incarnation != Some(run) => RunStatus::Dead,
+        Some(state) if state.health == TargetHealth::Gone => RunStatus::Dead,
+        Some(state) => RunStatus::Alive(state.reported),
     }
 }
--- a/crates/core/src/core/on_records.rs
+++ b/crates/core/src/core/on_records.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Core,
-    crate::{action::Action, decisions::Part, records, records::Merge, time::MonoMs},
+    crate::{action::Action, decisions::Subsystem, records, records::Merge, time::MonoMs},
     whinlatch_wire::{
         ids::Incarnation,
         peer::{PeerFrame, RecordListing, RecordPull, RecordSummary},
@@ -144,7 +144,7 @@
                 Merge::InForce => format!("{key} is in force at {revision} from {source}"),
                 Merge::Rejected(fault) => format!("{key} is rejected at {revision}: {fault}"),
             };
-            self.decide(now, Part::Records, None, text);
+            self.decide(now, Subsystem::Records, None, text);
             fresh.push(envelope.clone());
         }
         if fresh.is_empty() {
--- a/crates/core/src/core/on_stop.rs
+++ b/crates/core/src/core/on_stop.rs
@@ -3,7 +3,7 @@
 
 use {
     super::Core,
-    crate::{action::Action, decisions::Part, time::MonoMs},
+    crate::{action::Action, decisions::Subsystem, time::MonoMs},
     whinlatch_wire::{caller::Reason, ids::RequestId},
 };
 
@@ -13,7 +13,12 @@
             return;
         }
         self.leaving_since = Some(now);
-        self.decide(now, Part::Fleet, None, "this daemon is leaving".to_owned());
+        self.decide(
+            now,
+            Subsystem::Fleet,
+            None,
+            "this daemon is leaving".to_owned(),
+        );
     }
 
     /// Whether new work is refused: callers have had the time to drop this daemon's address.
--- a/crates/core/src/core/on_submit.rs
+++ b/crates/core/src/core/on_submit.rs
@@ -5,10 +5,10 @@
     crate::{
         action::{Action, Dispatch},
         admission::{authorize, is_idempotent},
-        decisions::Part,
+        decisions::Subsystem,
         event::Submission,
-        requests::{Flight, Request},
-        routing::{Ask, Choice, NoChoice, Scene, Weight},
+        requests::{InFlightAttempt, Request},
+        routing::{Choice, RoutingContext, RoutingError, RoutingRequest, Weight},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -25,7 +25,7 @@
 impl Core {
     pub(super) fn on_submit(&mut self, now: MonoMs, submission: Submission) {
         let request = submission.request;
-        self.book.open(now, request);
+        self.book.start(now, request);
         if self.records.summary().count == 0 {
             let message = "this daemon holds no records yet: use another entry";
             self.refuse_at_door(
@@ -73,12 +73,13 @@
             return;
         };
         let policy = self.records.in_force().policy();
-        let ask = Ask::new(&entry.submission.work, &entry.route, &tried, policy).alone(alone);
+        let ask =
+            RoutingRequest::new(&entry.submission.work, &entry.route, &tried, policy).alone(alone);
         if ask.weight == Weight::Long {
             self.place(now, request);
             return;
         }
-        let scene = Scene {
+        let scene = RoutingContext {
             now,
             in_force: self.records.in_force(),
             targets: &self.targets,
@@ -87,9 +88,9 @@
         match self.router.choose(&scene, &ask, &mut self.rng) {
             Ok(choice) if self.must_wait_for(now, request, &choice.target) => {}
             Ok(choice) => self.dispatch(now, request, &choice),
-            Err(NoChoice::TooLong) => self.place(now, request),
-            Err(NoChoice::NoneLive) => {
-                let message = NoChoice::NoneLive.to_string();
+            Err(RoutingError::TooLong) => self.place(now, request),
+            Err(RoutingError::NoneLive) => {
+                let message = RoutingError::NoneLive.to_string();
                 let retry = Some(NO_TARGET_RETRY_MS);
                 let kind = self.kind_now(request);
                 self.finish(now, request, kind, Reason::NoTarget, &message, retry);
@@ -111,7 +112,8 @@
             return;
         };
         if entry.tried.is_empty() {
-            self.retries.first(now, &entry.submission.account);
+            self.retries
+                .record_first_attempt(now, &entry.submission.account);
         }
         let group = self.groups.get(request);
         let dispatch = Dispatch {
@@ -129,14 +131,14 @@
             group: group.map_or_else(Vec::new, |group| group.members(target)),
             keep_answer: entry.submission.ticket,
         };
-        let flight = Flight {
+        let flight = InFlightAttempt {
             attempt,
             target: target.clone(),
             incarnation,
             helpers: group.map_or_else(Vec::new, |group| group.helpers(target)),
             first_chunk: false,
         };
-        if !self.requests.dispatched(request, flight) {
+        if !self.requests.mark_dispatched(request, flight) {
             return;
         }
         if let Some(state) = self.targets.get_mut(target) {
@@ -147,7 +149,7 @@
             "attempt {attempt} goes to {target}: waits {:.0} ms, is read in {:.0} ms",
             choice.wait_ms, choice.read_ms
         );
-        self.decide(now, Part::Routing, Some(request), text);
+        self.decide(now, Subsystem::Routing, Some(request), text);
         self.act(Action::Dispatch(Box::new(dispatch)));
     }
 
--- a/crates/core/src/core/on_target.rs
+++ b/crates/core/src/core/on_target.rs
@@ -4,7 +4,7 @@
     super::Core,
     crate::{
         action::{Action, TargetCall},
-        decisions::Part,
+        decisions::Subsystem,
         event::TargetEvent,
         time::MonoMs,
     },
@@ -45,10 +45,10 @@
     }
 
     fn on_unreachable(&mut self, now: MonoMs, target: &TargetName) {
-        self.orderer.unreachable(target);
+        self.orderer.on_unreachable(target);
         if self.targets.missed(target) {
             let text = format!("{target} gets nothing new: it answers no reads");
-            self.decide(now, Part::Fleet, None, text);
+            self.decide(now, Subsystem::Fleet, None, text);
         }
     }
 
@@ -61,7 +61,7 @@
         says: &str,
     ) {
         let text = format!("{target} is leaving, says {says}");
-        self.decide(now, Part::Fleet, None, text);
+        self.decide(now, Subsystem::Fleet, None, text);
         let news = TargetNews {
             target: target.clone(),
             incarnation,
--- a/crates/core/src/core/on_tick.rs
+++ b/crates/core/src/core/on_tick.rs
@@ -2,7 +2,7 @@
 
 use {
     super::Core,
-    crate::{action::Action, decisions::Part, requests::Refresh, time::MonoMs},
+    crate::{action::Action, decisions::Subsystem, requests::ResumeRefresh, time::MonoMs},
     whinlatch_wire::caller::Reason,
 };
 
@@ -28,9 +28,9 @@
         self.expire(now);
         if gap_ms > PAUSE_MS {
             let text = format!("the process was paused for {gap_ms} ms: the view is stale");
-            self.decide(now, Part::Fleet, None, text);
-            self.refresh = Some(Refresh::new(now));
-            self.orderer.forget();
+            self.decide(now, Subsystem::Fleet, None, text);
+            self.refresh = Some(ResumeRefresh::new(now));
+            self.orderer.clear();
         }
     }
 
@@ -50,7 +50,7 @@
     }
 
     fn expire(&mut self, now: MonoMs) {
-        for request in self.requests.overdue(now) {
+        for request in self.requests.past_deadline(now) {
             self.give_up(now, request, Reason::DeadlineReached, "the deadline passed");
         }
     }
@@ -63,26 +63,26 @@
         if !refresh.is_over(now, &self.targets, &self.members) {
             return;
         }
-        for target in refresh.unheard(&self.targets) {
+        for target in refresh.silent_targets(&self.targets) {
             if let Some(state) = self.targets.get_mut(&target) {
                 state.incarnation = None;
             }
         }
         self.refresh = None;
         let text = format!("the view is fresh after {} ms", now.since(refresh.since()));
-        self.decide(now, Part::Fleet, None, text);
+        self.decide(now, Subsystem::Fleet, None, text);
     }
 
     fn forget_old(&mut self, now: MonoMs) {
-        for ticket in self.tickets.forget_old(now) {
+        for ticket in self.tickets.evict_expired(now) {
             self.act(Action::ForgetAnswer { ticket });
         }
         if now < self.next_sweep {
             return;
         }
         self.next_sweep = now + SWEEP_EVERY_MS;
-        self.poison.forget_old(now);
-        self.retries.forget_idle(now);
+        self.poison.evict_expired(now);
+        self.retries.evict_idle(now);
         let in_force = self.records.in_force();
         self.holdings
             .retain(|target| in_force.target(target).is_some());
--- a/crates/core/src/core/on_ticket.rs
+++ b/crates/core/src/core/on_ticket.rs
@@ -4,9 +4,9 @@
     super::Core,
     crate::{
         action::Action,
-        decisions::Part,
+        decisions::Subsystem,
         event::{ForwardEnd, Submission},
-        requests::{Claim, NoTicket, Phase, Request},
+        requests::{Phase, Request, TicketClaim, TicketError},
         time::MonoMs,
     },
     whinlatch_wire::{
@@ -40,25 +40,25 @@
         {
             // Once this daemon refuses new work, its unused tickets are closed for ever: it ends
             // as this incarnation, and no other may run them.
-            Claim::Run if self.refuses_new(now) => self.refuse_leaving(now, request),
-            Claim::Run => {
+            TicketClaim::Run if self.refuses_new(now) => self.refuse_leaving(now, request),
+            TicketClaim::Run => {
                 self.tickets.begin(ticket, request);
                 self.requests.insert(entry);
                 self.route(now, request);
             }
-            Claim::Wait => {
+            TicketClaim::Wait => {
                 self.tickets.attach(ticket, request);
                 self.requests.attach(entry);
                 let text = "waits for the run under its ticket".to_owned();
-                self.decide(now, Part::Requests, Some(request), text);
+                self.decide(now, Subsystem::Requests, Some(request), text);
             }
-            Claim::Ended(outcome) => self.answer_ended(now, request, ticket, outcome),
-            Claim::Renew => self.hand_out_ticket(now, submission),
-            Claim::OtherRequest => {
+            TicketClaim::Ended(outcome) => self.answer_ended(now, request, ticket, outcome),
+            TicketClaim::Renew => self.hand_out_ticket(now, submission),
+            TicketClaim::OtherRequest => {
                 let message = "the ticket is for another request: send each under its own";
                 self.refuse(now, request, Reason::BadRequest, message, None);
             }
-            Claim::Unknown => {
+            TicketClaim::Unknown => {
                 let message = "this daemon has forgotten the ticket: the request may have run";
                 self.answer_unknown(now, request, Reason::TicketLost, message, None);
             }
@@ -77,11 +77,11 @@
             .issue(now, &submission.account, key, submission.fingerprint);
         let ticket = match issued {
             Ok(ticket) => ticket,
-            Err(none @ NoTicket::OtherRequest) => {
+            Err(none @ TicketError::OtherRequest) => {
                 self.refuse(now, request, Reason::BadRequest, &none.to_string(), None);
                 return;
             }
-            Err(none @ NoTicket::TooMany) => {
+            Err(none @ TicketError::TooMany) => {
                 let retry = Some(MORE_TICKETS_MS);
                 self.refuse(now, request, Reason::AccountLimit, &none.to_string(), retry);
                 return;
@@ -115,7 +115,7 @@
         let to = member.news.caller_address;
         let text = format!("passed to its home {to}");
         self.requests.forward(entry);
-        self.decide(now, Part::Requests, Some(request), text);
+        self.decide(now, Subsystem::Requests, Some(request), text);
         self.act(Action::Forward {
             request,
             to,
@@ -169,9 +169,9 @@
             self.finish_with(now, &outcome);
             return;
         }
-        self.book.close(&outcome);
+        self.book.set_outcome(&outcome);
         let text = "gets the kept answer of its ticket".to_owned();
-        self.decide(now, Part::Requests, Some(request), text);
+        self.decide(now, Subsystem::Requests, Some(request), text);
         self.act(Action::Replay {
             request,
             ticket,
@@ -210,12 +210,12 @@
             .tickets
             .claim(ticket, &submission.account, submission.fingerprint)
         {
-            Claim::Run => {
+            TicketClaim::Run => {
                 self.tickets.close(now, ticket);
                 true
             }
-            Claim::Renew | Claim::OtherRequest => true,
-            Claim::Wait | Claim::Ended(_) | Claim::Unknown => false,
+            TicketClaim::Renew | TicketClaim::OtherRequest => true,
+            TicketClaim::Wait | TicketClaim::Ended(_) | TicketClaim::Unknown => false,
         }
     }
 
--- a/crates/core/src/decisions.rs
+++ b/crates/core/src/decisions.rs
@@ -4,6 +4,6 @@
 mod decision_history;
 
 pub use {
-    decision::{Decision, Part},
-    decision_history::DecisionBook,
+    decision::{Decision, Subsystem},
+    decision_history::DecisionHistory,
 };
--- a/crates/core/src/decisions/decision.rs
+++ b/crates/core/src/decisions/decision.rs
@@ -2,7 +2,7 @@
 
 /// Subsystem of the core that made a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Part {
+pub enum Subsystem {
     /// Configuration records.
     Records,
     /// State of daemons and targets.
@@ -21,7 +21,7 @@
     Orders,
 }
 
-impl Part {
+impl Subsystem {
     /// Returns the prefix of the subsystem's log lines, which is also its name in decision reports.
     pub fn prefix(self) -> &'static str {
         match self {
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decision {
     /// Subsystem that made the decision.
-    pub part: Part,
+    pub subsystem: Subsystem,
     /// Request that the decision concerns; `None` for decisions about the daemon or the fleet.
     pub request: Option<RequestId>,
     /// Decision and its reason, as shown to operators.
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -4,6 +4,6 @@
 mod ranking;
 
 pub use {
-    order_planner::{Duty, Orderer, Step},
-    ranking::{first_of, place_of},
+    order_planner::{DesiredState, OrderPlanner, OrderStep},
+    ranking::{highest_ranked, rank_of},
 };
--- a/crates/core/src/orders/order_planner.rs
+++ b/crates/core/src/orders/order_planner.rs
@@ -19,7 +19,7 @@
 
 /// State that the records in force require of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Duty {
+pub struct DesiredState {
     /// Name of the engine.
     pub target: TargetName,
     /// Models that it must have loaded, and no others.
@@ -28,7 +28,7 @@
 
 /// Next call to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum OrderStep {
     /// Read the state of the engine.
     Read(TargetName),
     /// Send the engine an order.
@@ -43,7 +43,7 @@
 /// this, and a new order corrects it. A daemon whose records are older than the fence that an engine
 /// has seen sends no order, so that daemons with different records don't override each other forever.
 #[derive(Debug, Default)]
-pub struct Orderer {
+pub struct OrderPlanner {
     engines: BTreeMap<TargetName, Engine>,
 }
 
@@ -54,16 +54,16 @@
     loading_since: Option<MonoMs>,
 }
 
-impl Orderer {
+impl OrderPlanner {
     /// Returns the calls that are due for the engines in `desired`; other engines are dropped.
     /// `fence_of` returns the record revision that defines an engine's desired state. It is only called
     /// where the engine's state differs.
     pub fn steps(
         &mut self,
         now: MonoMs,
-        desired: &[Duty],
+        desired: &[DesiredState],
         fence_of: impl Fn(&TargetName) -> Option<Revision>,
-    ) -> Vec<Step> {
+    ) -> Vec<OrderStep> {
         self.track_engines(desired);
         let mut steps = Vec::new();
         let mut loading = self.count_loading(now);
@@ -76,20 +76,20 @@
             {
                 loading += 1;
                 engine.mark_ordered(now);
-                steps.push(Step::Order(wanted.target.clone(), order));
+                steps.push(OrderStep::Order(wanted.target.clone(), order));
             } else if engine
                 .last_read_at
                 .is_none_or(|at| now.since(at) >= STATE_READ_INTERVAL_MS)
             {
                 engine.last_read_at = Some(now);
-                steps.push(Step::Read(wanted.target.clone()));
+                steps.push(OrderStep::Read(wanted.target.clone()));
             }
         }
         steps
     }
 
     /// Records the state of an engine that a read returned.
-    pub fn read(&mut self, now: MonoMs, target: &TargetName, state: EngineState) {
+    pub fn on_state(&mut self, now: MonoMs, target: &TargetName, state: EngineState) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
@@ -99,14 +99,14 @@
     }
 
     /// Records that an engine answered an order, so that its state is read again immediately.
-    pub fn answered(&mut self, target: &TargetName) {
+    pub fn on_order_answered(&mut self, target: &TargetName) {
         if let Some(engine) = self.engines.get_mut(target) {
             engine.last_read_at = None;
         }
     }
 
     /// Records that an engine doesn't answer reads. It no longer blocks the loads of others.
-    pub fn unreachable(&mut self, target: &TargetName) {
+    pub fn on_unreachable(&mut self, target: &TargetName) {
         if let Some(engine) = self.engines.get_mut(target) {
             engine.state = None;
             engine.loading_since = None;
@@ -114,11 +114,11 @@
     }
 
     /// Drops all states, which are outdated after a pause of the process.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.engines.clear();
     }
 
-    fn track_engines(&mut self, desired: &[Duty]) {
+    fn track_engines(&mut self, desired: &[DesiredState]) {
         let named: BTreeSet<&TargetName> = desired.iter().map(|wanted| &wanted.target).collect();
         self.engines.retain(|target, _| named.contains(target));
         for wanted in desired {
@@ -140,7 +140,7 @@
     fn next_order(
         &self,
         now: MonoMs,
-        wanted: &Duty,
+        wanted: &DesiredState,
         fence_of: impl Fn(&TargetName) -> Option<Revision>,
     ) -> Option<Order> {
         let (read_at, state) = self.state.as_ref()?;
@@ -168,7 +168,7 @@
     }
 }
 
-fn matches_desired(state: &EngineState, desired: &Duty) -> bool {
+fn matches_desired(state: &EngineState, desired: &DesiredState) -> bool {
     let loaded: BTreeSet<&ServedModel> = state.models.iter().collect();
     let wanted: BTreeSet<&ServedModel> = desired.models.iter().collect();
     state.mode == EngineMode::Both && loaded == wanted
--- a/crates/core/src/orders/ranking.rs
+++ b/crates/core/src/orders/ranking.rs
@@ -2,7 +2,7 @@
 
 /// Returns how many of `others` rank before `own` for `key`, by rendezvous hashing: daemons with the
 /// same view of the members agree, and a member that joins or leaves changes the ranks of few keys.
-pub fn place_of(own: Incarnation, others: &[Incarnation], key: &str) -> usize {
+pub fn rank_of(own: Incarnation, others: &[Incarnation], key: &str) -> usize {
     let own = (weight(own, key), own);
     let before = others
         .iter()
@@ -11,7 +11,7 @@
 }
 
 /// Returns the `count` members that rank first for `key`, in order of rank.
-pub fn first_of(members: &[Incarnation], key: &str, count: usize) -> Vec<Incarnation> {
+pub fn highest_ranked(members: &[Incarnation], key: &str, count: usize) -> Vec<Incarnation> {
     let mut ranked: Vec<(u64, Incarnation)> = members
         .iter()
         .map(|member| (weight(*member, key), *member))
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -5,7 +5,7 @@
 mod groups;
 
 pub use {
-    choose_group::{ChosenGroup, NoGroup, Waiter, choose_group},
-    group::{Group, GroupState, Part, RESERVE_WITHIN_MS},
+    choose_group::{ChosenGroup, GroupError, WaitingPrompt, choose_group},
+    group::{Group, GroupState, Part, RESERVE_TIMEOUT_MS},
     groups::{DueGroup, Groups},
 };
--- a/crates/core/src/placement/choose_group.rs
+++ b/crates/core/src/placement/choose_group.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         fleet::TargetState,
-        routing::{Ask, Candidate, Scene, tokens_of},
+        routing::{Candidate, RoutingContext, RoutingRequest, tokens_of},
         time::MonoMs,
     },
     thiserror::Error,
@@ -24,7 +24,7 @@
 
 /// Reason for which no group can be formed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum NoGroup {
+pub enum GroupError {
     /// The memory of all engines together is too small for the prompt.
     #[error("the prompt is longer than all engines together hold: shorten it")]
     TooLong,
@@ -41,7 +41,7 @@
     /// Memory that each engine reserves, in tokens.
     pub part_tokens: u64,
     /// Whether the prompt can start immediately according to the last load reports.
-    pub now: bool,
+    pub starts_now: bool,
     /// Predicted time until the last of the engines is free, in ms.
     pub wait_ms: f64,
     /// Predicted time to read the prompt, in ms.
@@ -50,7 +50,7 @@
 
 /// A prompt that waits for engines.
 #[derive(Debug, Clone, Copy)]
-pub struct Waiter {
+pub struct WaitingPrompt {
     /// Time by which it is ranked among the waiting prompts, earliest first.
     pub since: MonoMs,
     /// Id under which it is queued at the engines.
@@ -71,19 +71,19 @@
 /// on which it can start immediately, or else as few as can hold it.
 ///
 /// # Errors
-/// [`NoGroup`] if there aren't enough engines.
+/// [`GroupError`] if there aren't enough engines.
 pub fn choose_group(
-    scene: &Scene<'_>,
-    ask: &Ask<'_>,
-    waiter: Waiter,
+    context: &RoutingContext<'_>,
+    request: &RoutingRequest<'_>,
+    waiting: WaitingPrompt,
     usable: &[Candidate],
     rng: &mut fastrand::Rng,
-) -> Result<ChosenGroup, NoGroup> {
-    let tokens = tokens_of(ask.work);
-    let min_count = min_engines(usable, tokens).ok_or(NoGroup::TooLong)?;
+) -> Result<ChosenGroup, GroupError> {
+    let tokens = tokens_of(request.work);
+    let min_count = min_engines(usable, tokens).ok_or(GroupError::TooLong)?;
     let mut engines: Vec<Engine<'_>> = usable
         .iter()
-        .map(|candidate| engine(scene, ask, waiter, candidate, rng))
+        .map(|candidate| engine(context, request, waiting, candidate, rng))
         .collect();
     engines.sort_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms));
     let max_count = (min_count + MAX_EXTRA_ENGINES).min(engines.len());
@@ -92,7 +92,7 @@
         let ready =
             |e: &&Engine<'_>| e.queued_ms <= START_THRESHOLD_MS && e.free_tokens >= part_tokens;
         let chosen: Vec<&Engine<'_>> = engines.iter().filter(ready).take(count).collect();
-        (chosen.len() == count).then(|| chosen_group(ask, &chosen, part_tokens, true))
+        (chosen.len() == count).then(|| chosen_group(request, &chosen, part_tokens, true))
     });
     if let Some(group) = immediate {
         return Ok(group);
@@ -111,49 +111,49 @@
     engines.sort_by(|a, b| cost_with_memory_ms(a).total_cmp(&cost_with_memory_ms(b)));
     let chosen: Vec<&Engine<'_>> = engines.iter().take(min_count).collect();
     if chosen.len() < min_count {
-        return Err(NoGroup::NoneLive);
+        return Err(GroupError::NoneLive);
     }
-    Ok(chosen_group(ask, &chosen, part_tokens, false))
+    Ok(chosen_group(request, &chosen, part_tokens, false))
 }
 
 fn chosen_group(
-    ask: &Ask<'_>,
+    request: &RoutingRequest<'_>,
     engines: &[&Engine<'_>],
     part_tokens: u64,
-    now: bool,
+    starts_now: bool,
 ) -> ChosenGroup {
     let count = engines.len();
-    let read_ms = |e: &&Engine<'_>| e.state.cost.read_ms(0, ask.prompt_tokens(), count);
+    let read_ms = |e: &&Engine<'_>| e.state.cost.read_ms(0, request.prompt_tokens(), count);
     let mut targets: Vec<TargetName> = engines.iter().map(|e| e.target.clone()).collect();
     targets.sort();
     ChosenGroup {
         targets,
         part_tokens,
-        now,
+        starts_now,
         wait_ms: engines.iter().map(|e| e.queued_ms).fold(0.0, f64::max),
         read_ms: engines.iter().map(read_ms).fold(0.0, f64::max),
     }
 }
 
 fn engine<'a>(
-    scene: &Scene<'a>,
-    ask: &Ask<'_>,
-    waiter: Waiter,
+    context: &RoutingContext<'a>,
+    request: &RoutingRequest<'_>,
+    waiting: WaitingPrompt,
     candidate: &Candidate,
     rng: &mut fastrand::Rng,
 ) -> Engine<'a> {
-    let state = scene.targets.at(candidate.place);
-    let target = scene.targets.name_at(candidate.place);
-    let left = state.load.left(scene.now);
+    let state = context.targets.at(candidate.index);
+    let target = context.targets.name_at(candidate.index);
+    let left = state.load.left(context.now);
     let claimed_ms = state
         .load
-        .claimed_before_ms(scene.now, waiter.since, waiter.claim);
+        .claimed_before_ms(context.now, waiting.since, waiting.claim);
     let queued_ms = left.long_ms + claimed_ms;
-    let read_ms = state.cost.read_ms(0, ask.prompt_tokens(), 1);
+    let read_ms = state.cost.read_ms(0, request.prompt_tokens(), 1);
     // While it helps another engine, an engine reads at half its speed until one of the two is done.
     let helping_ms = left.helping_ms.min(read_ms);
     let others_ms = left.light_ms + left.medium_ms + rng.f64() * JITTER_MS;
-    let tried = !ask.tried.is_empty() && ask.tried.contains(target);
+    let tried = !request.tried.is_empty() && request.tried.contains(target);
     let tried_ms = if tried { 1e9 } else { 0.0 };
     Engine {
         target,
--- a/crates/core/src/placement/group.rs
+++ b/crates/core/src/placement/group.rs
@@ -9,7 +9,7 @@
 
 /// Time within which an engine must answer a reservation, in ms. Short, since other prompts wait behind
 /// it.
-pub const RESERVE_WITHIN_MS: u64 = 1_000;
+pub const RESERVE_TIMEOUT_MS: u64 = 1_000;
 /// Time after which an engine releases reserved memory unless the reservation is renewed, in ms. A
 /// daemon that dies or is disconnected never releases its reservations; the expiry keeps engines from
 /// losing that memory for good.
@@ -36,19 +36,19 @@
     /// No memory is reserved. The prompt is queued at the chosen engines.
     Waiting {
         /// Time of the next attempt to choose and reserve engines.
-        due: MonoMs,
+        retry_at: MonoMs,
     },
     /// The parts before `next` are reserved, and the request for `next` is pending.
     Acquiring {
         /// Index of the part whose engine hasn't answered yet.
         next: usize,
         /// When the reservation of that part was requested.
-        asked: MonoMs,
+        requested_at: MonoMs,
     },
     /// All parts are reserved.
     Held {
         /// Time of the next renewal.
-        renew: MonoMs,
+        renew_at: MonoMs,
     },
 }
 
@@ -84,7 +84,7 @@
             claimed: Vec::new(),
             parts: Vec::new(),
             part_tokens: 0,
-            state: GroupState::Waiting { due: now },
+            state: GroupState::Waiting { retry_at: now },
             tries: 0,
         }
     }
@@ -99,7 +99,7 @@
     }
 
     /// Returns the reservation request for the engine of a part.
-    pub fn ask(&self, part: &Part, owner: Incarnation) -> ReserveRequest {
+    pub fn reserve_request(&self, part: &Part, owner: Incarnation) -> ReserveRequest {
         ReserveRequest {
             reservation: part.reservation,
             owner,
@@ -110,7 +110,7 @@
     }
 
     /// Part whose engine hasn't answered yet; `None` unless the group is acquiring.
-    pub fn asked(&self) -> Option<&Part> {
+    pub fn pending_part(&self) -> Option<&Part> {
         match self.state {
             GroupState::Acquiring { next, .. } => self.parts.get(next),
             _ => None,
@@ -125,18 +125,18 @@
         if next + 1 < self.parts.len() {
             self.state = GroupState::Acquiring {
                 next: next + 1,
-                asked: now,
+                requested_at: now,
             };
             return false;
         }
-        self.renewed(now);
+        self.mark_reserved(now);
         true
     }
 
     /// Marks all parts as reserved and schedules the next renewal.
-    pub fn renewed(&mut self, now: MonoMs) {
+    pub fn mark_reserved(&mut self, now: MonoMs) {
         self.state = GroupState::Held {
-            renew: now + RENEW_INTERVAL_MS,
+            renew_at: now + RENEW_INTERVAL_MS,
         };
     }
 
--- a/crates/core/src/placement/groups.rs
+++ b/crates/core/src/placement/groups.rs
@@ -1,5 +1,5 @@
 use {
-    super::{Group, GroupState, RESERVE_WITHIN_MS},
+    super::{Group, GroupState, RESERVE_TIMEOUT_MS},
     crate::time::MonoMs,
     std::collections::{BTreeMap, HashMap},
     whinlatch_wire::ids::{AttemptId, RequestId},
@@ -62,11 +62,15 @@
         self.by_request
             .iter()
             .filter_map(|(request, group)| match group.state {
-                GroupState::Waiting { due } if due <= now => Some(DueGroup::Try(*request)),
-                GroupState::Acquiring { asked, .. } if now.since(asked) > RESERVE_WITHIN_MS => {
+                GroupState::Waiting { retry_at } if retry_at <= now => {
+                    Some(DueGroup::Try(*request))
+                }
+                GroupState::Acquiring { requested_at, .. }
+                    if now.since(requested_at) > RESERVE_TIMEOUT_MS =>
+                {
                     Some(DueGroup::Unanswered(*request))
                 }
-                GroupState::Held { renew } if renew <= now => Some(DueGroup::Renew(*request)),
+                GroupState::Held { renew_at } if renew_at <= now => Some(DueGroup::Renew(*request)),
                 _ => None,
             })
             .collect()
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -2,24 +2,24 @@
 
 mod attempt_end;
 mod crashed_targets;
-mod holdings;
 mod issued_keys;
-mod poison_book;
-mod refresh;
+mod leak_detector;
+mod poison_tracker;
 mod request;
 mod request_table;
+mod resume_refresh;
 mod retry_budget;
-mod ticket_book;
+mod ticket_table;
 
 pub use {
     attempt_end::AttemptEnd,
-    holdings::{Fault, HoldingWatch, is_overdue},
-    poison_book::{Fate, PoisonBook, Standing},
-    refresh::Refresh,
-    request::{Flight, Phase, Request},
+    leak_detector::{LeakCause, LeakDetector, is_overdue},
+    poison_tracker::{PoisonTracker, RunStatus, Suspicion},
+    request::{InFlightAttempt, Phase, Request},
     request_table::RequestTable,
+    resume_refresh::ResumeRefresh,
     retry_budget::RetryBudget,
-    ticket_book::{Claim, NoTicket, TicketBook},
+    ticket_table::{TicketClaim, TicketError, TicketTable},
 };
 use {
     crashed_targets::CrashedTargets,
--- a/crates/core/src/requests/crashed_targets.rs
+++ b/crates/core/src/requests/crashed_targets.rs
@@ -1,5 +1,5 @@
 use {
-    super::Fate,
+    super::RunStatus,
     crate::time::MonoMs,
     std::collections::BTreeSet,
     whinlatch_wire::ids::{Incarnation, TargetName},
@@ -67,16 +67,17 @@
     pub(super) fn resolve(
         &mut self,
         now: MonoMs,
-        status: impl Fn(&TargetName, Incarnation) -> Fate,
+        status: impl Fn(&TargetName, Incarnation) -> RunStatus,
     ) -> Vec<SuspectedCrash> {
         let mut dead = Vec::new();
         let mut pending = Vec::new();
         for crash in self.pending.drain(..) {
             match status(&crash.target, crash.incarnation) {
-                Fate::Dead => dead.push(crash),
-                Fate::Alive(at) if at.since(crash.since) >= REPORT_LAG_MS => {}
-                Fate::Alive(_) | Fate::Unsure if now.since(crash.since) > RESOLVE_TIMEOUT_MS => {}
-                Fate::Alive(_) | Fate::Unsure => pending.push(crash),
+                RunStatus::Dead => dead.push(crash),
+                RunStatus::Alive(at) if at.since(crash.since) >= REPORT_LAG_MS => {}
+                RunStatus::Alive(_) | RunStatus::Unknown
+                    if now.since(crash.since) > RESOLVE_TIMEOUT_MS => {}
+                RunStatus::Alive(_) | RunStatus::Unknown => pending.push(crash),
             }
         }
         self.pending = pending;
--- a/crates/core/src/requests/issued_keys.rs
+++ b/crates/core/src/requests/issued_keys.rs
@@ -1,5 +1,5 @@
 use {
-    super::NoTicket,
+    super::TicketError,
     std::collections::HashMap,
     whinlatch_wire::ids::{AccountName, Incarnation, Ticket},
     xxhash_rust::xxh3::xxh3_64_with_seed,
@@ -22,9 +22,9 @@
         self,
         home: Incarnation,
         fingerprint: u64,
-    ) -> Result<Ticket, NoTicket> {
+    ) -> Result<Ticket, TicketError> {
         if self.fingerprint != fingerprint {
-            return Err(NoTicket::OtherRequest);
+            return Err(TicketError::OtherRequest);
         }
         Ok(Ticket {
             home,
--- a/crates/core/src/requests/holdings.rs
+++ b/crates/core/src/requests/leak_detector.rs
@@ -23,13 +23,13 @@
 
 /// Why a holding at a target is leaked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub enum LeakCause {
     /// Past its deadline.
     Overdue,
     /// Owned by a dead daemon.
     OwnerDead,
     /// Owned by this daemon, but its request has ended: the cancel was lost.
-    Over,
+    RequestEnded,
 }
 
 /// Detects leaked memory at targets from their load reports.
@@ -39,7 +39,7 @@
 /// for the target acts first; the others follow one after the other, so that correctness doesn't
 /// depend on the ranking. Freeing is idempotent.
 #[derive(Debug, Default)]
-pub struct HoldingWatch {
+pub struct LeakDetector {
     by_target: BTreeMap<TargetName, HashMap<AttemptId, Leak>>,
 }
 
@@ -49,25 +49,25 @@
     last_freed_at: Option<MonoMs>,
 }
 
-impl HoldingWatch {
+impl LeakDetector {
     /// Records the leaked holdings of one report and returns those to free now. `rank` is this daemon's
     /// rank for the target, from 0.
-    pub fn report(
+    pub fn on_report(
         &mut self,
         now: MonoMs,
         target: &TargetName,
-        faults: &[(&Holding, Fault)],
+        leaked: &[(&Holding, LeakCause)],
         rank: usize,
     ) -> Vec<Holding> {
         let former = self.by_target.remove(target).unwrap_or_default();
         let mut leaks = HashMap::new();
         let mut to_free = Vec::new();
-        for (holding, fault) in faults {
+        for (holding, cause) in leaked {
             let mut leak = former.get(&holding.attempt).copied().unwrap_or(Leak {
                 since: now,
                 last_freed_at: None,
             });
-            let due = now.since(leak.since) >= wait_ms(*fault, rank);
+            let due = now.since(leak.since) >= wait_ms(*cause, rank);
             if due
                 && leak
                     .last_freed_at
@@ -95,11 +95,11 @@
     holding.overdue_ms > OVERDUE_GRACE_MS
 }
 
-fn wait_ms(fault: Fault, rank: usize) -> u64 {
+fn wait_ms(cause: LeakCause, rank: usize) -> u64 {
     let rank_ms = rank.min(MAX_DELAY_RANK) as u64 * RANK_STEP_MS;
-    match fault {
-        Fault::Overdue => rank_ms,
-        Fault::OwnerDead => DEAD_GRACE_MS + rank_ms,
-        Fault::Over => OWN_GRACE_MS,
+    match cause {
+        LeakCause::Overdue => rank_ms,
+        LeakCause::OwnerDead => DEAD_GRACE_MS + rank_ms,
+        LeakCause::RequestEnded => OWN_GRACE_MS,
     }
 }
--- a/crates/core/src/requests/poison_book.rs
+++ b/crates/core/src/requests/poison_tracker.rs
@@ -10,7 +10,7 @@
 
 /// How long a suspicion is kept after the last crash, in ms.
 const SUSPICION_TTL_MS: u64 = 600_000;
-/// Maximum number of suspected requests; beyond it [`PoisonBook::evict_weakest`] drops one.
+/// Maximum number of suspected requests; beyond it [`PoisonTracker::evict_weakest`] drops one.
 const MAX_SUSPECTS: usize = 2_000;
 /// Maximum number of crashed target runs kept for one suspect.
 const MAX_CRASHES_PER_SUSPECT: usize = 16;
@@ -19,17 +19,17 @@
 
 /// How strongly a request is suspected of crashing targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Suspicion {
     /// No target is known to have crashed while it was in flight there.
     Clear,
     /// A target crashed, or may have crashed, with the request in flight. It must run alone.
-    Suspect,
+    Suspected,
     /// Whether it is poison depends on a silent target whose crash isn't confirmed. It must wait.
-    InDoubt,
+    Unconfirmed,
     /// It crashed too many targets and is refused.
     Poison {
         /// Time until the refusal ends, in ms.
-        keep_ms: u64,
+        remaining_ms: u64,
     },
 }
 
@@ -50,7 +50,7 @@
 /// broken or silent attempt, followed by a new run of the target or by none. Crashes are keyed by the
 /// target's incarnation, so a crash that is reported twice, or by two daemons, counts once.
 #[derive(Debug, Default)]
-pub struct PoisonBook {
+pub struct PoisonTracker {
     histories: HashMap<u64, CrashHistory>,
     crashed_targets: CrashedTargets,
 }
@@ -63,19 +63,19 @@
 
 /// Status of a run of a target, as far as this daemon knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RunStatus {
     /// It was replaced by another run, or is unreachable.
     Dead,
     /// It reported, most recently at this time.
     Alive(MonoMs),
     /// The target isn't known here.
-    Unsure,
+    Unknown,
 }
 
-impl PoisonBook {
+impl PoisonTracker {
     /// Records that an attempt broke off at a run of a target. `in_flight` are the fingerprints of this
     /// daemon's requests there; `others` tells whether other daemons had work there.
-    pub fn broke_off(
+    pub fn record_broken_attempt(
         &mut self,
         now: MonoMs,
         target: &TargetName,
@@ -89,10 +89,10 @@
 
     /// Resolves targets where attempts broke off: records a crash for each one that died. Returns the
     /// news to send to peers.
-    pub fn settle(
+    pub fn resolve_crashes(
         &mut self,
         now: MonoMs,
-        fate: impl Fn(&TargetName, Incarnation) -> Fate,
+        fate: impl Fn(&TargetName, Incarnation) -> RunStatus,
     ) -> Vec<PoisonNews> {
         let mut news = Vec::new();
         for dead in self.crashed_targets.resolve(now, fate) {
@@ -111,7 +111,7 @@
 
     /// Clears a request that completed: the crashes it was suspected of had another cause. Returns the
     /// news to send to peers.
-    pub fn completed(&mut self, fingerprint: u64) -> Option<PoisonNews> {
+    pub fn clear_completed(&mut self, fingerprint: u64) -> Option<PoisonNews> {
         self.crashed_targets.clear(fingerprint);
         let history = self.histories.get_mut(&fingerprint)?;
         let cleared = history.clear(|_| true);
@@ -146,7 +146,7 @@
 
     /// Returns the suspicion against a request. `alone_limit` crashes with it alone at the target make
     /// it poison.
-    pub fn standing(&self, now: MonoMs, fingerprint: u64, alone_limit: u32) -> Standing {
+    pub fn suspicion(&self, now: MonoMs, fingerprint: u64, alone_limit: u32) -> Suspicion {
         let (open, open_alone) = self.crashed_targets.count(fingerprint);
         let history = self.histories.get(&fingerprint);
         let history = history.filter(|history| history.expires_at > now);
@@ -154,12 +154,12 @@
         let limit = (alone_limit.max(1) as usize).min(MAX_CRASHED_TARGETS);
         let over = |all: usize, alone: usize| all >= MAX_CRASHED_TARGETS || alone >= limit;
         match history {
-            Some(history) if over(all, alone) => Standing::Poison {
-                keep_ms: history.expires_at.since(now),
+            Some(history) if over(all, alone) => Suspicion::Poison {
+                remaining_ms: history.expires_at.since(now),
             },
-            _ if over(all + open, alone + open_alone) => Standing::InDoubt,
-            _ if all + open > 0 => Standing::Suspect,
-            _ => Standing::Clear,
+            _ if over(all + open, alone + open_alone) => Suspicion::Unconfirmed,
+            _ if all + open > 0 => Suspicion::Suspected,
+            _ => Suspicion::Clear,
         }
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Evicts suspicions whose retention time has passed.
-    pub fn forget_old(&mut self, now: MonoMs) {
+    pub fn evict_expired(&mut self, now: MonoMs) {
         self.histories.retain(|_, history| history.expires_at > now);
     }
 
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -38,7 +38,7 @@
     /// No attempt is in flight; the request is routed again once its reason to wait is gone.
     Held,
     /// An attempt is in flight. The phase starts before the first byte is written.
-    InFlight(Flight),
+    InFlight(InFlightAttempt),
     /// Waits for the outcome of the request that is running under the same ticket.
     Attached,
     /// Forwarded to the daemon that issued its ticket.
@@ -47,7 +47,7 @@
 
 /// An attempt in flight.
 #[derive(Debug, Clone)]
-pub struct Flight {
+pub struct InFlightAttempt {
     /// Id of the attempt.
     pub attempt: AttemptId,
     /// Target that runs it.
@@ -82,7 +82,7 @@
     }
 
     /// The attempt in flight, if any.
-    pub fn flight(&self) -> Option<&Flight> {
+    pub fn in_flight_attempt(&self) -> Option<&InFlightAttempt> {
         match &self.phase {
             Phase::InFlight(flight) => Some(flight),
             _ => None,
@@ -114,12 +114,12 @@
         self.caller_gone
     }
 
-    pub(super) fn begin(&mut self, flight: Flight) {
+    pub(super) fn begin(&mut self, flight: InFlightAttempt) {
         self.tried.push(flight.target.clone());
         self.phase = Phase::InFlight(flight);
     }
 
-    pub(super) fn end_attempt(&mut self, end: AttemptEnd) -> Option<Flight> {
+    pub(super) fn end_attempt(&mut self, end: AttemptEnd) -> Option<InFlightAttempt> {
         let Phase::InFlight(flight) = std::mem::replace(&mut self.phase, Phase::Queued) else {
             return None;
         };
--- a/crates/core/src/requests/request_table.rs
+++ b/crates/core/src/requests/request_table.rs
@@ -1,5 +1,5 @@
 use {
-    super::{AttemptEnd, Flight, Phase, Request},
+    super::{AttemptEnd, InFlightAttempt, Phase, Request},
     crate::time::MonoMs,
     std::collections::{BTreeSet, HashMap},
     whinlatch_wire::ids::{AttemptId, RequestId, TargetName},
@@ -36,7 +36,7 @@
     /// Marks a request as dispatched. Called before the first byte is written, so that `not_run` is
     /// never reported for a request whose bytes may already be under way. Returns `false`, and changes
     /// nothing, if no attempt may be dispatched.
-    pub fn dispatched(&mut self, request: RequestId, flight: Flight) -> bool {
+    pub fn mark_dispatched(&mut self, request: RequestId, flight: InFlightAttempt) -> bool {
         let Some(entry) = self.by_id.get_mut(&request) else {
             return false;
         };
@@ -50,14 +50,14 @@
     }
 
     /// Records that the first chunk of the answer arrived.
-    pub fn first_chunk(&mut self, request: RequestId) {
+    pub fn mark_first_chunk(&mut self, request: RequestId) {
         if let Some(Phase::InFlight(flight)) = self.by_id.get_mut(&request).map(|e| &mut e.phase) {
             flight.first_chunk = true;
         }
     }
 
     /// Ends the attempt in flight and queues its request. Returns `None` if the attempt isn't in flight.
-    pub fn attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd) -> Option<Flight> {
+    pub fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) -> Option<InFlightAttempt> {
         let request = self.by_attempt.remove(&attempt)?;
         self.by_id.get_mut(&request)?.end_attempt(end)
     }
@@ -92,7 +92,7 @@
     }
 
     /// Records that the caller disconnected although the request goes on.
-    pub fn caller_gone(&mut self, request: RequestId) {
+    pub fn mark_caller_gone(&mut self, request: RequestId) {
         if let Some(entry) = self.by_id.get_mut(&request) {
             entry.caller_gone = true;
         }
@@ -103,14 +103,14 @@
         let entry = self.by_id.remove(&request)?;
         self.by_deadline.remove(&(entry.deadline, request));
         self.held.remove(&request);
-        if let Some(flight) = entry.flight() {
+        if let Some(flight) = entry.in_flight_attempt() {
             self.by_attempt.remove(&flight.attempt);
         }
         Some(entry)
     }
 
     /// Requests whose deadline has passed, earliest first.
-    pub fn overdue(&self, now: MonoMs) -> Vec<RequestId> {
+    pub fn past_deadline(&self, now: MonoMs) -> Vec<RequestId> {
         self.by_deadline
             .iter()
             .take_while(|(deadline, _)| *deadline <= now)
@@ -132,8 +132,11 @@
 
     /// Requests with an attempt in flight at a target.
     pub fn at_target(&self, target: &TargetName) -> impl Iterator<Item = &Request> {
-        self.in_flight()
-            .filter(move |entry| entry.flight().is_some_and(|f| f.target == *target))
+        self.in_flight().filter(move |entry| {
+            entry
+                .in_flight_attempt()
+                .is_some_and(|f| f.target == *target)
+        })
     }
 
     /// Number of requests, in all phases.
--- a/crates/core/src/requests/refresh.rs
+++ b/crates/core/src/requests/resume_refresh.rs
@@ -16,11 +16,11 @@
 /// request is dispatched until each target has answered a read sent after the process resumed, and a
 /// peer has sent a message; targets that haven't answered by then are considered gone.
 #[derive(Debug, Clone, Copy)]
-pub struct Refresh {
+pub struct ResumeRefresh {
     since: MonoMs,
 }
 
-impl Refresh {
+impl ResumeRefresh {
     /// Starts a refresh at the moment when the process resumed.
     pub fn new(now: MonoMs) -> Self {
         Self { since: now }
@@ -38,7 +38,7 @@
     }
 
     /// Targets that haven't reported since the process resumed.
-    pub fn unheard(self, targets: &Targets) -> Vec<TargetName> {
+    pub fn silent_targets(self, targets: &Targets) -> Vec<TargetName> {
         targets
             .iter()
             .filter(|(_, state)| state.reported < self.since)
--- a/crates/core/src/requests/retry_budget.rs
+++ b/crates/core/src/requests/retry_budget.rs
@@ -38,7 +38,7 @@
 
 impl RetryBudget {
     /// Records a first attempt.
-    pub fn first(&mut self, now: MonoMs, account: &AccountName) {
+    pub fn record_first_attempt(&mut self, now: MonoMs, account: &AccountName) {
         self.all.slot(now).first_attempts += 1;
         self.accounts
             .entry(account.clone())
@@ -49,7 +49,7 @@
 
     /// Takes a retry out of the budget of `per_mille` of the first attempts. Returns `false`, and takes
     /// nothing, if the account's budget or the common one is spent.
-    pub fn take(&mut self, now: MonoMs, account: &AccountName, per_mille: u32) -> bool {
+    pub fn try_take(&mut self, now: MonoMs, account: &AccountName, per_mille: u32) -> bool {
         let own = self.accounts.entry(account.clone()).or_default();
         if !own.allows(now, per_mille, MIN_ACCOUNT_RETRIES)
             || !self.all.allows(now, per_mille, MIN_TOTAL_RETRIES)
@@ -62,7 +62,7 @@
     }
 
     /// Evicts accounts without attempts in the window.
-    pub fn forget_idle(&mut self, now: MonoMs) {
+    pub fn evict_idle(&mut self, now: MonoMs) {
         self.accounts.retain(|_, window| {
             window.evict_expired(now);
             !window.slots.is_empty()
--- a/crates/core/src/requests/ticket_book.rs
+++ b/crates/core/src/requests/ticket_table.rs
@@ -37,7 +37,7 @@
 
 /// How a request that names a ticket proceeds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claim {
+pub enum TicketClaim {
     /// It runs: nothing has run under the ticket.
     Run,
     /// It waits for the request that is running under the ticket.
@@ -56,7 +56,7 @@
 
 /// Reason for which no ticket is issued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum NoTicket {
+pub enum TicketError {
     /// The idempotency key was used with another request.
     #[error("the idempotency key was used with another request: use a new key for each request")]
     OtherRequest,
@@ -68,7 +68,7 @@
 /// Tickets issued by this incarnation. Only this incarnation dispatches requests under them. Since an
 /// incarnation never returns, no request runs again under its tickets once it has ended.
 #[derive(Debug)]
-pub struct TicketBook {
+pub struct TicketTable {
     home: Incarnation,
     issued: u64,
     secret: u64,
@@ -87,7 +87,7 @@
     expiry: Option<MonoMs>,
 }
 
-impl TicketBook {
+impl TicketTable {
     /// Creates an empty table for the incarnation `home`. `secret` must be random: it makes ticket
     /// numbers hard to guess and seeds the hashes of idempotency keys.
     pub fn new(home: Incarnation, secret: u64) -> Self {
@@ -105,7 +105,7 @@
     /// Issues a ticket. The same account and key get the same ticket again, unless it is closed.
     ///
     /// # Errors
-    /// [`NoTicket`] if the key was used with another request, or the account has too many tickets or
+    /// [`TicketError`] if the key was used with another request, or the account has too many tickets or
     /// keys.
     pub fn issue(
         &mut self,
@@ -113,7 +113,7 @@
         account: &AccountName,
         key: Option<&str>,
         fingerprint: u64,
-    ) -> Result<Ticket, NoTicket> {
+    ) -> Result<Ticket, TicketError> {
         let key = key.map(|key| self.keys.hash_of(account, key));
         if let Some(key) = key {
             self.detach_closed_key(key, fingerprint);
@@ -123,7 +123,7 @@
         }
         let count = self.per_account.get(account).copied().unwrap_or(0);
         if count >= MAX_PER_ACCOUNT || (key.is_some() && self.keys.is_full(account)) {
-            return Err(NoTicket::TooMany);
+            return Err(TicketError::TooMany);
         }
         let number = self.next_number();
         if let Some(key) = key {
@@ -150,19 +150,19 @@
     }
 
     /// Returns how a request of `account` that names `ticket` proceeds. Changes nothing.
-    pub fn claim(&self, ticket: Ticket, account: &AccountName, fingerprint: u64) -> Claim {
+    pub fn claim(&self, ticket: Ticket, account: &AccountName, fingerprint: u64) -> TicketClaim {
         let entry = match self.tickets.get(&ticket.number) {
             Some(entry) if ticket.home == self.home && entry.account == *account => entry,
-            _ => return Claim::Unknown,
+            _ => return TicketClaim::Unknown,
         };
         if entry.fingerprint != fingerprint {
-            return Claim::OtherRequest;
+            return TicketClaim::OtherRequest;
         }
         match &entry.state {
-            TicketState::Issued => Claim::Run,
-            TicketState::InFlight { .. } => Claim::Wait,
-            TicketState::Ended(outcome) => Claim::Ended(outcome.clone()),
-            TicketState::Closed => Claim::Renew,
+            TicketState::Issued => TicketClaim::Run,
+            TicketState::InFlight { .. } => TicketClaim::Wait,
+            TicketState::Ended(outcome) => TicketClaim::Ended(outcome.clone()),
+            TicketState::Closed => TicketClaim::Renew,
         }
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Evicts expired tickets. Returns those that had ended, whose kept answers can be dropped.
-    pub fn forget_old(&mut self, now: MonoMs) -> Vec<Ticket> {
+    pub fn evict_expired(&mut self, now: MonoMs) -> Vec<Ticket> {
         let mut ended = Vec::new();
         while let Some((expiry, number)) = self.by_expiry.first().copied()
             && expiry <= now
--- a/crates/core/src/routing/candidates.rs
+++ b/crates/core/src/routing/candidates.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
     /// Index of the target in [`Targets`].
-    pub place: usize,
+    pub index: usize,
     /// Memory of the engine in tokens; `u64::MAX` for plain services.
     pub memory_tokens: u64,
     rank: u64,
@@ -84,7 +84,7 @@
         .filter(|record| record.provider == share.provider && serves(record, share, work))
         .filter_map(|record| {
             Some(Candidate {
-                place: targets.place(&record.target)?,
+                index: targets.place(&record.target)?,
                 memory_tokens: memory_of(record).unwrap_or(u64::MAX),
                 rank: xxh3_64(record.target.as_str().as_bytes()),
             })
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -1,11 +1,11 @@
 use {
     super::{
-        Ask, Candidate, Candidates, NoChoice, ProviderRotation, ShortPromptReserve, Weight,
-        tokens_of,
+        Candidate, Candidates, ProviderRotation, RoutingError, RoutingRequest, ShortPromptReserve,
+        Weight, tokens_of,
     },
     crate::{
         fleet::{TargetState, Targets},
-        placement::{ChosenGroup, NoGroup, Waiter, choose_group},
+        placement::{ChosenGroup, GroupError, WaitingPrompt, choose_group},
         records::InForce,
         time::MonoMs,
     },
@@ -43,7 +43,7 @@
 
 /// State of the daemon on which a choice is based.
 #[derive(Debug, Clone, Copy)]
-pub struct Scene<'a> {
+pub struct RoutingContext<'a> {
     /// Time of the choice.
     pub now: MonoMs,
     /// Records in force.
@@ -68,38 +68,39 @@
     /// Chooses a target for a request.
     ///
     /// # Errors
-    /// [`NoChoice`] if no target can take it.
+    /// [`RoutingError`] if no target can take it.
     pub fn choose(
         &mut self,
-        scene: &Scene<'_>,
-        ask: &Ask<'_>,
+        context: &RoutingContext<'_>,
+        request: &RoutingRequest<'_>,
         rng: &mut fastrand::Rng,
-    ) -> Result<Choice, NoChoice> {
-        let next = self.rotation.next(ask.route, ask.weight, rng);
+    ) -> Result<Choice, RoutingError> {
+        let next = self.rotation.next(request.route, request.weight, rng);
         let mut too_long = false;
-        for (provider, share) in in_order(&ask.route.providers, next) {
+        for (provider, share) in in_order(&request.route.providers, next) {
             let list = self
                 .candidates
-                .of(scene.in_force, scene.targets, ask.work, share);
-            let usable = self.score_usable(scene, ask, &list, &mut too_long);
+                .of(context.in_force, context.targets, request.work, share);
+            let usable = self.score_usable(context, request, &list, &mut too_long);
             if usable == 0 {
                 continue;
             }
-            let for_long = usable - self.reserved_count(scene, share, usable);
-            let spill_ms = spill_ms(scene, ask);
+            let for_long = usable - self.reserved_count(context, share, usable);
+            let spill_ms = spill_ms(context, request);
             for (_, score) in &mut self.scores[..for_long] {
                 *score += spill_ms;
             }
-            self.rotation.charge(ask.route, ask.weight, provider, rng);
+            self.rotation
+                .charge(request.route, request.weight, provider, rng);
             let index = self.pick_near_best(rng);
-            let state = scene.targets.at(index);
-            let target = scene.targets.name_at(index);
-            return Ok(choice(scene.now, state, ask, target, 1));
+            let state = context.targets.at(index);
+            let target = context.targets.name_at(index);
+            return Ok(predict_choice(context.now, state, request, target, 1));
         }
         Err(if too_long {
-            NoChoice::TooLong
+            RoutingError::TooLong
         } else {
-            NoChoice::NoneLive
+            RoutingError::NoneLive
         })
     }
 
@@ -107,60 +108,70 @@
     /// another if it lacks engines.
     ///
     /// # Errors
-    /// [`NoGroup`] if no provider has enough engines.
+    /// [`GroupError`] if no provider has enough engines.
     pub fn choose_group(
         &mut self,
-        scene: &Scene<'_>,
-        ask: &Ask<'_>,
-        waiter: Waiter,
+        context: &RoutingContext<'_>,
+        request: &RoutingRequest<'_>,
+        waiting: WaitingPrompt,
         provider: usize,
         rng: &mut fastrand::Rng,
-    ) -> Result<ChosenGroup, NoGroup> {
-        let mut verdict = Err(NoGroup::TooLong);
-        for (_, share) in in_order(&ask.route.providers, provider) {
+    ) -> Result<ChosenGroup, GroupError> {
+        let mut verdict = Err(GroupError::TooLong);
+        for (_, share) in in_order(&request.route.providers, provider) {
             let list = self
                 .candidates
-                .of(scene.in_force, scene.targets, ask.work, share);
+                .of(context.in_force, context.targets, request.work, share);
             let usable: Vec<Candidate> = list
                 .iter()
-                .filter(|candidate| scene.targets.at(candidate.place).takes_work())
+                .filter(|candidate| context.targets.at(candidate.index).takes_work())
                 .copied()
                 .collect();
-            let reserved = self.reserved_count(scene, share, usable.len());
+            let reserved = self.reserved_count(context, share, usable.len());
             let for_long = &usable[..usable.len() - reserved];
-            let chosen = choose_group(scene, ask, waiter, for_long, rng)
-                .or_else(|_| choose_group(scene, ask, waiter, &usable, rng));
+            let chosen = choose_group(context, request, waiting, for_long, rng)
+                .or_else(|_| choose_group(context, request, waiting, &usable, rng));
             if chosen.is_ok() {
                 return chosen;
             }
             // Engines that are away may return: the prompt is too long only if all engines together,
             // live or not, can't hold it.
             let memory: u64 = list.iter().map(|candidate| candidate.memory_tokens).sum();
-            if memory >= tokens_of(ask.work) {
-                verdict = Err(NoGroup::NoneLive);
+            if memory >= tokens_of(request.work) {
+                verdict = Err(GroupError::NoneLive);
             }
         }
         verdict
     }
 
     /// Number of a provider's usable targets that are reserved for light and medium prompts.
-    fn reserved_count(&self, scene: &Scene<'_>, share: &ProviderShare, usable: usize) -> usize {
+    fn reserved_count(
+        &self,
+        context: &RoutingContext<'_>,
+        share: &ProviderShare,
+        usable: usize,
+    ) -> usize {
         let part = f64::from(share.share_per_mille) / 1_000.0;
-        let policy = scene.in_force.policy();
-        self.reserve.targets(policy, usable, scene.daemons, part)
+        let policy = context.in_force.policy();
+        self.reserve.targets(policy, usable, context.daemons, part)
     }
 
     /// Draws the provider of a long prompt and charges the prompt to it immediately, since its engines
     /// are chosen later. Returns its index in the route's list.
-    pub fn draw_provider(&mut self, ask: &Ask<'_>, rng: &mut fastrand::Rng) -> usize {
-        let next = self.rotation.next(ask.route, ask.weight, rng);
-        self.rotation.charge(ask.route, ask.weight, next, rng);
+    pub fn draw_provider(
+        &mut self,
+        request: &RoutingRequest<'_>,
+        rng: &mut fastrand::Rng,
+    ) -> usize {
+        let next = self.rotation.next(request.route, request.weight, rng);
+        self.rotation
+            .charge(request.route, request.weight, next, rng);
         next
     }
 
     /// Records a light or medium prompt that was sent. The number of targets reserved for such prompts
     /// depends on it.
-    pub fn note_small(&mut self, now: MonoMs, read_ms: f64) {
+    pub fn record_short_prompt(&mut self, now: MonoMs, read_ms: f64) {
         self.reserve.record(now, read_ms);
     }
 
@@ -168,15 +179,15 @@
     /// Targets that were tried score worst. Sets `too_long` if the prompt exceeds a target's memory.
     fn score_usable(
         &mut self,
-        scene: &Scene<'_>,
-        ask: &Ask<'_>,
+        context: &RoutingContext<'_>,
+        request: &RoutingRequest<'_>,
         list: &[Candidate],
         too_long: &mut bool,
     ) -> usize {
         self.scores.clear();
-        let tokens = tokens_of(ask.work);
+        let tokens = tokens_of(request.work);
         for candidate in list {
-            let state = scene.targets.at(candidate.place);
+            let state = context.targets.at(candidate.index);
             if !state.takes_work() {
                 continue;
             }
@@ -184,12 +195,12 @@
                 *too_long = true;
                 continue;
             }
-            let name = || scene.targets.name_at(candidate.place);
-            let tried = !ask.tried.is_empty() && ask.tried.contains(name());
-            let shared = ask.alone && state.in_flight > 0;
+            let name = || context.targets.name_at(candidate.index);
+            let tried = !request.tried.is_empty() && request.tried.contains(name());
+            let shared = request.alone && state.in_flight > 0;
             let penalty = penalty_ms(tried, shared);
-            let score = wait_ms(scene.now, state, ask) + read_ms(state, ask) + penalty;
-            self.scores.push((candidate.place, score));
+            let score = wait_ms(context.now, state, request) + read_ms(state, request) + penalty;
+            self.scores.push((candidate.index, score));
         }
         self.scores.len()
     }
@@ -217,24 +228,24 @@
 
 /// Returns the choice of a target with its predicted times, for a prompt that `engines` engines read
 /// together.
-pub fn choice(
+pub fn predict_choice(
     now: MonoMs,
     state: &TargetState,
-    ask: &Ask<'_>,
+    request: &RoutingRequest<'_>,
     target: &TargetName,
     engines: usize,
 ) -> Choice {
     Choice {
         target: target.clone(),
-        wait_ms: wait_ms(now, state, ask),
-        read_ms: state.cost.read_ms(0, ask.prompt_tokens(), engines),
+        wait_ms: wait_ms(now, state, request),
+        read_ms: state.cost.read_ms(0, request.prompt_tokens(), engines),
     }
 }
 
 /// Predicted time until a target starts on a prompt, in ms. The prompt waits for those that are at
 /// least as urgent, and for the current step of a less urgent one. If the target lacks memory for it,
 /// it waits for all prompts.
-fn wait_ms(now: MonoMs, state: &TargetState, ask: &Ask<'_>) -> f64 {
+fn wait_ms(now: MonoMs, state: &TargetState, request: &RoutingRequest<'_>) -> f64 {
     let left = state.load.left(now);
     let running_ms = f64::from(state.load.running()) * WAIT_PER_RUNNING_MS;
     let parts = [
@@ -242,9 +253,9 @@
         (Weight::Medium, left.medium_ms),
         (Weight::Long, left.long_ms + state.load.claimed_ms(now)),
     ];
-    let own = ask.priorities.at(ask.weight);
+    let own = request.priorities.at(request.weight);
     let waits_for = |weight: Weight| {
-        state.load.free_tokens() < tokens_of(ask.work) || ask.priorities.at(weight) <= own
+        state.load.free_tokens() < tokens_of(request.work) || request.priorities.at(weight) <= own
     };
     let before_ms: f64 = parts
         .iter()
@@ -261,19 +272,19 @@
 }
 
 /// Extra wait that a light or medium prompt accepts before it goes to a target for long prompts, in ms.
-fn spill_ms(scene: &Scene<'_>, ask: &Ask<'_>) -> f64 {
-    let policy = scene.in_force.policy();
+fn spill_ms(context: &RoutingContext<'_>, request: &RoutingRequest<'_>) -> f64 {
+    let policy = context.in_force.policy();
     let weights = policy.long_first_token_weight + policy.short_slowdown_weight;
     let long = policy.long_first_token_weight / weights.max(f64::MIN_POSITIVE);
-    match ask.weight {
+    match request.weight {
         Weight::Light => SPILL_LIGHT_MS * long,
         Weight::Medium => SPILL_MEDIUM_MS * long,
         Weight::Long => 0.0,
     }
 }
 
-fn read_ms(state: &TargetState, ask: &Ask<'_>) -> f64 {
-    state.cost.read_ms(0, ask.prompt_tokens(), 1)
+fn read_ms(state: &TargetState, request: &RoutingRequest<'_>) -> f64 {
+    state.cost.read_ms(0, request.prompt_tokens(), 1)
 }
 
 /// Iterates over the provider at index `first`, then over the others in the order of the record.
--- a/crates/core/src/routing/ask.rs
+++ b/crates/core/src/routing/routing_request.rs
@@ -64,7 +64,7 @@
 
 /// A request for which a target is to be chosen, with the constraints on the choice.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct RoutingRequest<'a> {
     /// Prompt or call to run.
     pub work: &'a Work,
     /// Route that allows the request; its providers share the requests.
@@ -81,7 +81,7 @@
     pub priorities: Priorities,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> RoutingRequest<'a> {
     /// Creates a request for work under a route, with weight and priorities by the policy in force.
     pub fn new(
         work: &'a Work,
@@ -120,7 +120,7 @@
 
 /// Reason for which no target was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum NoChoice {
+pub enum RoutingError {
     /// No live target serves the work.
     #[error("no live target serves this request: check the targets and their records")]
     NoneLive,
--- a/crates/daemon/src/logs/decision_log.rs
+++ b/crates/daemon/src/logs/decision_log.rs
@@ -31,7 +31,7 @@
 }
 
 fn write(decision: Decision) {
-    let prefix = decision.part.prefix();
+    let prefix = decision.subsystem.prefix();
     let text = decision.text;
     match decision.request {
         Some(request) => log::info!(target: prefix, "{prefix}: {text} request={request}"),
