--- a/crates/core/src/requests/leak_detector.rs
+++ b/crates/core/src/requests/leak_detector.rs
@@ -21,7 +21,7 @@
 /// Time between two attempts to free the same holding, in ms.
 const RETRY_INTERVAL_MS: u64 = 1_000;
 
-/// Why a holding at a target is leaked.
+/// Reason for which a holding at a target counts as leaked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeakCause {
     /// Past its deadline.
--- a/crates/core/src/requests/poison_tracker.rs
+++ b/crates/core/src/requests/poison_tracker.rs
@@ -92,10 +92,10 @@
     pub fn resolve_crashes(
         &mut self,
         now: MonoMs,
-        fate: impl Fn(&TargetName, Incarnation) -> RunStatus,
+        status: impl Fn(&TargetName, Incarnation) -> RunStatus,
     ) -> Vec<PoisonNews> {
         let mut news = Vec::new();
-        for dead in self.crashed_targets.resolve(now, fate) {
+        for dead in self.crashed_targets.resolve(now, status) {
             let crash = if dead.was_alone() {
                 Crash::Alone
             } else {
