--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,5 +1,5 @@
-//! Limits by client account and by deadline.
+//! Admission of requests: account, key, caller and route.
 
 mod authorize;
 
-pub use authorize::{Refused, authorize, is_idempotent};
+pub use authorize::{AdmissionError, authorize, is_idempotent};
--- a/crates/core/src/requests.rs
+++ b/crates/core/src/requests.rs
@@ -1,27 +1,27 @@
-//! Requests in flight, their attempts, and the tickets of those that may not be repeated.
+//! Requests in flight, their attempts, and the tickets of requests that may run only once.
 
 mod attempt_end;
-mod casualties;
-mod holdings;
+mod crashed_targets;
 mod issued_keys;
-mod poison_book;
-mod refresh;
+mod leak_detector;
+mod poison_tracker;
 mod request;
 mod request_table;
+mod resume_refresh;
 mod retry_budget;
-mod ticket_book;
+mod ticket_table;
 
 pub use {
     attempt_end::AttemptEnd,
-    holdings::{Fault, HoldingWatch, is_overdue},
-    poison_book::{Fate, PoisonBook, Standing},
-    refresh::Refresh,
-    request::{Flight, Phase, Request},
+    leak_detector::{LeakCause, LeakDetector, is_overdue},
+    poison_tracker::{PoisonTracker, RunStatus, Suspicion},
+    request::{InFlightAttempt, Phase, Request},
     request_table::RequestTable,
+    resume_refresh::ResumeRefresh,
     retry_budget::RetryBudget,
-    ticket_book::{Claim, NoTicket, TicketBook},
+    ticket_table::{TicketClaim, TicketError, TicketTable},
 };
 use {
-    casualties::Casualties,
+    crashed_targets::CrashedTargets,
     issued_keys::{IssuedKeys, KeyUse},
 };
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,15 +1,15 @@
-//! Choice of the target for a request.
+//! Choice of the target for a request: candidates from the records, provider shares, predicted times.
 
-mod ask;
 mod candidates;
-mod free_share;
+mod provider_rotation;
 mod router;
-mod shares;
+mod routing_request;
+mod short_prompt_reserve;
 
 pub use {
-    ask::{Ask, NoChoice, Priorities, Weight},
     candidates::{Candidate, Candidates, serves, tokens_of},
-    free_share::FreeShare,
-    router::{Choice, Router, Scene, choice},
-    shares::Shares,
+    provider_rotation::ProviderRotation,
+    router::{Choice, Router, RoutingContext, predict_choice},
+    routing_request::{Priorities, RoutingError, RoutingRequest, Weight},
+    short_prompt_reserve::ShortPromptReserve,
 };
