--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -1,16 +1,17 @@
-//! Sends prompts and service calls, and moves on to another entry where one can't take them.
+//! The `ask` command: sends prompts and service calls, and fails over to another entry when one can't take them.
 
 mod answer;
-mod asker;
 mod attempt;
-mod mix;
+mod batch;
+mod client;
 mod output;
 mod progress;
-mod question;
+mod request;
 
 use {
     self::{
-        asker::Asker, mix::ask_many, output::print_answer, progress::Progress, question::Question,
+        batch::send_batch, client::AskClient, output::print_answer, progress::Progress,
+        request::AskRequest,
     },
     crate::{
         cli::AskOptions,
@@ -20,17 +21,17 @@
     std::io::{IsTerminal, stderr},
 };
 
-/// Asks once or many times, and prints what came of it.
+/// Sends one request or a batch and prints the results.
 pub(crate) async fn run(options: &AskOptions, entries: EntryList) -> Result<Exit, CliError> {
-    let question = Question::new(options)?;
-    let asker = Asker::new(entries);
+    let request = AskRequest::new(options)?;
+    let client = AskClient::new(entries);
     if options.count > 1 {
-        return ask_many(&asker, &question, options).await;
+        return send_batch(&client, &request, options).await;
     }
-    let progress = Progress::new(&question, options.progress || stderr().is_terminal());
-    let question = question.numbered(1);
-    let asking = asker.ask(&question, !options.json, &progress);
-    let answer = progress.show_during(asking).await?;
+    let progress = Progress::new(&request, options.progress || stderr().is_terminal());
+    let request = request.with_number(1);
+    let sending = client.send(&request, !options.json, &progress);
+    let answer = progress.show_during(sending).await?;
     print_answer(&answer, options.json)?;
     Ok(answer.exit())
 }
--- a/crates/cli/src/ask/answer.rs
+++ b/crates/cli/src/ask/answer.rs
@@ -8,16 +8,16 @@
     },
 };
 
-/// Reason of an answer that no entry gave.
+/// Reason reported when no entry could be reached.
 pub(super) const NO_ENTRY: &str = "no_entry";
-/// Reason of an answer whose connection broke.
+/// Reason reported when the connection broke before the outcome arrived.
 pub(super) const CONNECTION_LOST: &str = "connection_lost";
-/// Reason of an answer that isn't whinlatch's.
+/// Reason reported when the response carries no outcome, so that it doesn't come from whinlatch.
 pub(super) const BAD_ANSWER: &str = "bad_answer";
 
-/// How an entry ended a request.
+/// Final outcome of a request, as an entry reported it or as the tool determined it.
 #[derive(Debug, Clone, Serialize)]
-pub(super) struct End {
+pub(super) struct RequestEnd {
     pub outcome: OutcomeKind,
     pub reason: String,
     pub message: String,
@@ -26,7 +26,7 @@
     pub ticket: Option<Ticket>,
 }
 
-impl From<Outcome> for End {
+impl From<Outcome> for RequestEnd {
     fn from(outcome: Outcome) -> Self {
         Self {
             outcome: outcome.outcome,
@@ -39,9 +39,9 @@
     }
 }
 
-impl End {
-    /// An end that no entry stated.
-    pub fn own(outcome: OutcomeKind, reason: &str, message: &str) -> Self {
+impl RequestEnd {
+    /// Creates an outcome that the tool determined itself, without an id from an entry.
+    pub fn local(outcome: OutcomeKind, reason: &str, message: &str) -> Self {
         Self {
             outcome,
             reason: reason.to_owned(),
@@ -52,22 +52,23 @@
         }
     }
 
-    /// Whether the ticket that came with it is to be sent along.
-    pub fn asks_for_ticket(&self) -> bool {
+    /// Returns true if the entry refused the call for lack of a ticket and issued one to resend it with.
+    pub fn requires_ticket(&self) -> bool {
         self.ticket.is_some() && self.reason == reason_text(Reason::TicketNeeded)
     }
 
-    /// Whether the request was not run for a reason of this one entry, so that another may take it.
-    pub fn is_for_another_entry(&self) -> bool {
-        const OF_THE_ENTRY: [Reason; 3] = [Reason::Leaving, Reason::Paused, Reason::NoRecords];
+    /// Returns true if the request was not run for a reason that concerns only this entry, so that another
+    /// may accept it.
+    pub fn is_retryable_elsewhere(&self) -> bool {
+        const ENTRY_REASONS: [Reason; 3] = [Reason::Leaving, Reason::Paused, Reason::NoRecords];
         self.outcome == OutcomeKind::NotRun
-            && OF_THE_ENTRY
+            && ENTRY_REASONS
                 .iter()
                 .any(|reason| self.reason == reason_text(*reason))
     }
 }
 
-/// The reason as it stands in JSON.
+/// Returns the reason as it is written in JSON.
 pub(super) fn reason_text(reason: Reason) -> String {
     match serde_json::to_value(reason) {
         Ok(serde_json::Value::String(text)) => text,
@@ -75,16 +76,16 @@
     }
 }
 
-/// What came of a request.
+/// Result of a request over all its attempts, as `--json` prints it.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct Answer {
     pub number: u32,
     #[serde(flatten)]
-    pub end: End,
+    pub end: RequestEnd,
     pub idempotency_key: String,
-    /// The entry that ended it.
+    /// Entry that reported the outcome, or whose connection broke; `None` if no entry was reached.
     pub entry: Option<SocketAddr>,
-    /// Entries that it was sent to, or tried to.
+    /// Attempts to send the request, including those that failed to connect.
     pub attempts: u32,
     pub prompt_tokens: u64,
     pub first_text_ms: Option<u64>,
--- a/crates/cli/src/ask/attempt.rs
+++ b/crates/cli/src/ask/attempt.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        answer::{BAD_ANSWER, End},
+        answer::{BAD_ANSWER, RequestEnd},
         output::Output,
     },
     crate::{
@@ -17,21 +17,21 @@
 };
 
 const OK: u16 = 200;
-/// Name of the event that ends a streamed answer.
+/// Name of the server-sent event that carries the outcome and ends a streamed answer.
 const OUTCOME_EVENT: &str = "outcome";
 
-/// What came of sending a request to one entry.
+/// Result of sending a request to one entry.
 #[derive(Debug)]
-pub(super) enum Attempt {
-    /// Nothing was sent.
+pub(super) enum AttemptResult {
+    /// No connection was opened, so nothing was sent.
     NotConnected,
-    /// It was sent, and the answer broke off or is not whole.
+    /// The request was sent, but the answer is incomplete or invalid; the text says how.
     Broken(String),
-    /// The entry ended it.
-    Ended(End),
+    /// The entry reported an outcome.
+    Ended(RequestEnd),
 }
 
-impl From<ExchangeError> for Attempt {
+impl From<ExchangeError> for AttemptResult {
     fn from(error: ExchangeError) -> Self {
         match error {
             ExchangeError::NotConnected(_) => Self::NotConnected,
@@ -40,45 +40,49 @@
     }
 }
 
-/// Reads the answer to a prompt: events, the last of them the outcome.
+/// Reads the streamed answer to a prompt: text events, followed by the outcome event.
 pub(super) async fn read_stream(
     mut response: Response,
     output: &mut Output<'_>,
-) -> Result<Attempt, CliError> {
+) -> Result<AttemptResult, CliError> {
     if u16::from(response.status()) != OK {
         return Ok(read_refusal(response).await);
     }
     let mut events = EventReader::new(response.take_body().into_reader());
-    let mut answered = None;
+    let mut stream_request = None;
     loop {
         let event = match events.next().await {
             Ok(Some(event)) => event,
-            Ok(None) => return Ok(broken("the answer ended before its outcome")),
+            Ok(None) => return Ok(broken("the stream ended before the outcome event")),
             Err(error) => return Ok(broken(&error.to_string())),
         };
-        match read_event(&event) {
-            Some(Part::End(outcome)) if is_same(&mut answered, outcome.request) => {
-                return Ok(Attempt::Ended(End::from(*outcome)));
+        match parse_event(&event) {
+            Some(StreamEvent::Outcome(outcome))
+                if matches_stream(&mut stream_request, outcome.request) =>
+            {
+                return Ok(AttemptResult::Ended(RequestEnd::from(*outcome)));
             }
-            Some(Part::Text { id, text }) if is_same(&mut answered, id) => output.take(&text)?,
-            // Half an answer joined to half of another would look whole; whoever mixed them up,
-            // neither is printed further.
-            Some(_) => return Ok(broken("a part of another request's answer came")),
-            None => return Ok(broken("an event can't be understood")),
+            Some(StreamEvent::Text { id, text }) if matches_stream(&mut stream_request, id) => {
+                output.push(&text)?;
+            }
+            // Parts of two answers joined together would look like one complete answer, so the attempt
+            // ends here, wherever they were mixed up.
+            Some(_) => return Ok(broken("received an event that belongs to another request")),
+            None => return Ok(broken("received an event that can't be parsed")),
         }
     }
 }
 
-enum Part {
+enum StreamEvent {
     Text { id: RequestId, text: String },
-    End(Box<Outcome>),
+    Outcome(Box<Outcome>),
 }
 
-fn read_event(event: &Event) -> Option<Part> {
+fn parse_event(event: &Event) -> Option<StreamEvent> {
     if event.name == OUTCOME_EVENT {
         return serde_json::from_str(&event.data)
             .ok()
-            .map(|end| Part::End(Box::new(end)));
+            .map(|outcome| StreamEvent::Outcome(Box::new(outcome)));
     }
     let chunk: CompletionChunk = serde_json::from_str(&event.data).ok()?;
     let text = chunk
@@ -86,65 +90,70 @@
         .into_iter()
         .map(|choice| choice.text)
         .collect();
-    Some(Part::Text { id: chunk.id, text })
+    Some(StreamEvent::Text { id: chunk.id, text })
 }
 
-/// Whether a part belongs to the request whose parts came before.
-fn is_same(answered: &mut Option<RequestId>, id: RequestId) -> bool {
-    *answered.get_or_insert(id) == id
+/// Returns true if an event belongs to the same request as the earlier events of the stream.
+fn matches_stream(stream_request: &mut Option<RequestId>, id: RequestId) -> bool {
+    *stream_request.get_or_insert(id) == id
 }
 
-/// Reads the answer of a plain service. The service's own failures are completed answers too.
+/// Reads the answer of a plain service. An error status of the service itself is a completed answer too.
 pub(super) async fn read_call(
     response: Response,
     output: &mut Output<'_>,
-) -> Result<Attempt, CliError> {
-    if outcome_of(&response) != Some(OutcomeKind::Completed) {
+) -> Result<AttemptResult, CliError> {
+    if outcome_from_headers(&response) != Some(OutcomeKind::Completed) {
         return Ok(read_refusal(response).await);
     }
     let mut response = response;
-    let end = end_of_headers(&response, OutcomeKind::Completed);
+    let end = end_from_headers(&response, OutcomeKind::Completed);
     match read_text(response.take_body()).await {
         Ok(text) => {
-            output.take(&text)?;
-            Ok(Attempt::Ended(end))
+            output.push(&text)?;
+            Ok(AttemptResult::Ended(end))
         }
         Err(error) => Ok(error.into()),
     }
 }
 
-/// Reads an answer that is an outcome and nothing else.
-async fn read_refusal(mut response: Response) -> Attempt {
+/// Reads an answer that consists of an outcome alone, in its body or its headers.
+async fn read_refusal(mut response: Response) -> AttemptResult {
     let text = match read_text(response.take_body()).await {
         Ok(text) => text,
         Err(error) => return error.into(),
     };
     if let Ok(outcome) = serde_json::from_str::<Outcome>(&text) {
-        return Attempt::Ended(outcome.into());
+        return AttemptResult::Ended(outcome.into());
     }
-    if let Some(kind) = outcome_of(&response) {
-        return Attempt::Ended(end_of_headers(&response, kind));
+    if let Some(kind) = outcome_from_headers(&response) {
+        return AttemptResult::Ended(end_from_headers(&response, kind));
     }
     let status = u16::from(response.status());
-    let message = format!("status {status} without an outcome: check that this is whinlatch");
-    Attempt::Ended(End::own(OutcomeKind::Unknown, BAD_ANSWER, &message))
+    let message =
+        format!("status {status} without an outcome: check that the entry is a whinlatch daemon");
+    AttemptResult::Ended(RequestEnd::local(
+        OutcomeKind::Unknown,
+        BAD_ANSWER,
+        &message,
+    ))
 }
 
-fn outcome_of(response: &Response) -> Option<OutcomeKind> {
+fn outcome_from_headers(response: &Response) -> Option<OutcomeKind> {
     let text = response.header(OUTCOME_HEADER)?.last().as_str();
     serde_json::from_value(text.into()).ok()
 }
 
-fn end_of_headers(response: &Response, outcome: OutcomeKind) -> End {
+fn end_from_headers(response: &Response, outcome: OutcomeKind) -> RequestEnd {
     let header = |name| response.header(name).map(|values| values.last().as_str());
     let reason = header(REASON_HEADER).unwrap_or_default();
     let request = header(REQUEST_HEADER).and_then(|text| text.parse().ok());
-    End {
+    RequestEnd {
         request,
-        ..End::own(outcome, reason, "")
+        ..RequestEnd::local(outcome, reason, "")
     }
 }
 
-fn broken(detail: &str) -> Attempt {
-    Attempt::Broken(detail.to_owned())
+fn broken(detail: &str) -> AttemptResult {
+    AttemptResult::Broken(detail.to_owned())
 }
--- a/crates/cli/src/ask/mix.rs
+++ b/crates/cli/src/ask/batch.rs
@@ -1,6 +1,7 @@
 use {
     super::{
-        answer::Answer, asker::Asker, output::print_json, progress::Progress, question::Question,
+        answer::Answer, client::AskClient, output::print_json, progress::Progress,
+        request::AskRequest,
     },
     crate::{
         cli::AskOptions,
@@ -11,20 +12,20 @@
     whinlatch_wire::caller::OutcomeKind,
 };
 
-/// Sends the question `count` times, `concurrency` at once. Prints each answer as it ends, and
-/// the counts last: on standard error if the answers are JSON, else on standard output.
-pub(super) async fn ask_many(
-    asker: &Asker,
-    question: &Question,
+/// Sends the request `count` times, up to `concurrency` at the same time. Prints each answer as it completes and
+/// the totals last: on standard error if the answers are JSON, else on standard output.
+pub(super) async fn send_batch(
+    client: &AskClient,
+    request: &AskRequest,
     options: &AskOptions,
 ) -> Result<Exit, CliError> {
-    let progress = &Progress::hidden(question);
-    let asking = |number| async move {
-        let numbered = question.numbered(number);
-        asker.ask(&numbered, false, progress).await
+    let progress = &Progress::hidden(request);
+    let send_one = |number| async move {
+        let request = request.with_number(number);
+        client.send(&request, false, progress).await
     };
     let mut answers = stream::iter(1..=options.count)
-        .map(asking)
+        .map(send_one)
         .buffer_unordered(options.concurrency as usize);
     let mut tally = Tally::default();
     while let Some(answer) = answers.try_next().await? {
@@ -46,13 +47,13 @@
 fn print_line(answer: &Answer) -> io::Result<()> {
     let end = &answer.end;
     let (number, total_ms) = (answer.number, answer.total_ms);
-    let first = answer
+    let first_text = answer
         .first_text_ms
-        .map_or("-".to_owned(), |first| first.to_string());
+        .map_or("-".to_owned(), |ms| ms.to_string());
     let outcome = end.outcome.as_str();
     writeln!(
         io::stdout().lock(),
-        "{number:>6}  {outcome:<9}  {:<20}  first text {first:>6} ms  ended {total_ms:>6} ms",
+        "{number:>6}  {outcome:<9}  {:<20}  first text {first_text:>6} ms  ended {total_ms:>6} ms",
         end.reason
     )
 }
@@ -88,12 +89,12 @@
             self.completed,
             self.not_run,
             self.unknown,
-            spread("first_text", &self.first_text_ms),
-            spread("ended", &self.total_ms),
+            percentiles("first_text", &self.first_text_ms),
+            percentiles("ended", &self.total_ms),
         )
     }
 
-    /// The worst end: what may have run and isn't known comes first.
+    /// Returns the exit code of the worst outcome: `unknown`, whose requests may have run, comes first.
     fn exit(&self) -> Exit {
         if self.unknown > 0 {
             return Exit::Unknown;
@@ -108,7 +109,7 @@
     }
 }
 
-fn spread(name: &str, values: &[u64]) -> String {
+fn percentiles(name: &str, values: &[u64]) -> String {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
     let at = |per_cent: usize| sorted.get((sorted.len() * per_cent / 100).min(sorted.len() - 1));
--- a/crates/cli/src/ask/output.rs
+++ b/crates/cli/src/ask/output.rs
@@ -7,55 +7,58 @@
     whinlatch_wire::caller::OutcomeKind,
 };
 
-/// Takes the text of an answer: prints it as it comes, or keeps it.
+/// Collects the text of an answer and, if it `streams`, prints it as it arrives.
 #[derive(Debug)]
 pub(super) struct Output<'p> {
-    prints: bool,
+    /// Whether text is printed as it arrives.
+    streams: bool,
     progress: &'p Progress,
+    /// Text received so far.
     pub text: String,
-    pub first_text: Option<Instant>,
+    /// When the first text arrived; `None` before.
+    pub first_text_at: Option<Instant>,
 }
 
 impl<'p> Output<'p> {
-    pub fn new(prints: bool, progress: &'p Progress) -> Self {
+    pub fn new(streams: bool, progress: &'p Progress) -> Self {
         Self {
-            prints,
+            streams,
             progress,
             text: String::new(),
-            first_text: None,
+            first_text_at: None,
         }
     }
 
-    pub fn take(&mut self, piece: &str) -> io::Result<()> {
-        if piece.is_empty() {
+    pub fn push(&mut self, text: &str) -> io::Result<()> {
+        if text.is_empty() {
             return Ok(());
         }
-        if self.first_text.is_none() {
-            self.first_text = Some(Instant::now());
+        if self.first_text_at.is_none() {
+            self.first_text_at = Some(Instant::now());
             self.progress.stop();
         }
-        self.text.push_str(piece);
-        if !self.prints {
+        self.text.push_str(text);
+        if !self.streams {
             return Ok(());
         }
         let mut out = io::stdout().lock();
-        out.write_all(piece.as_bytes())?;
+        out.write_all(text.as_bytes())?;
         out.flush()
     }
 
-    /// Whether text was printed, so that it can't be taken back.
+    /// Returns true if text was printed already: the request can't be retried without repeating it.
     pub fn is_printed(&self) -> bool {
-        self.prints && !self.text.is_empty()
+        self.streams && !self.text.is_empty()
     }
 
-    /// Drops the text of an answer that broke off.
+    /// Discards the text of an answer that broke off, before a retry.
     pub fn clear(&mut self) {
         self.text.clear();
-        self.first_text = None;
+        self.first_text_at = None;
     }
 }
 
-/// Prints an answer whose text is printed already, or all of it as one line of JSON.
+/// Prints the final line for an answer whose text has been streamed, or the whole answer as one line of JSON.
 pub(super) fn print_answer(answer: &Answer, json: bool) -> io::Result<()> {
     if json {
         return print_json(answer);
@@ -89,8 +92,7 @@
             .map(|first| format!("first text after {first} ms")),
         Some(format!("ended after {} ms", answer.total_ms)),
         ticket.map(|ticket| format!("ticket {ticket}")),
-        end.retry_after_ms
-            .map(|wait| format!("ask again in {wait} ms")),
+        end.retry_after_ms.map(|wait| format!("retry in {wait} ms")),
     ];
     let parts: Vec<String> = parts.into_iter().flatten().collect();
     parts.join("; ")
--- a/crates/cli/src/ask/progress.rs
+++ b/crates/cli/src/ask/progress.rs
@@ -1,5 +1,5 @@
 use {
-    super::question::Question,
+    super::request::AskRequest,
     async_std::task::sleep,
     futures::future::{Either, select},
     std::{
@@ -11,10 +11,10 @@
 
 /// Prompts of at least this many tokens get a progress line.
 const LONG_PROMPT_TOKENS: u64 = 10_000;
-/// Time between two progress lines.
-const PACE: Duration = Duration::from_secs(1);
+/// Time between two updates of the progress line.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A line on standard error that tells how long the answer to a long prompt has been waited for.
+/// Progress line on standard error that shows how long a long prompt has been waiting for its answer.
 #[derive(Debug)]
 pub(super) struct Progress {
     shown: bool,
@@ -24,38 +24,38 @@
 }
 
 impl Progress {
-    /// Shows the line if it is `wanted` and the prompt is long.
-    pub fn new(question: &Question, wanted: bool) -> Self {
-        let tokens = question.prompt_tokens();
-        let shown = wanted && tokens >= LONG_PROMPT_TOKENS;
+    /// Creates a progress line that is shown if `enabled` and the prompt is long.
+    pub fn new(request: &AskRequest, enabled: bool) -> Self {
+        let tokens = request.prompt_tokens();
+        let shown = enabled && tokens >= LONG_PROMPT_TOKENS;
         Self {
             shown,
             tokens,
-            deadline: question.deadline,
+            deadline: request.deadline,
             stopped: AtomicBool::new(!shown),
         }
     }
 
-    /// No line at all.
-    pub fn hidden(question: &Question) -> Self {
-        Self::new(question, false)
+    /// Creates a progress line that is never shown, for the requests of a batch.
+    pub fn hidden(request: &AskRequest) -> Self {
+        Self::new(request, false)
     }
 
-    /// Ends the line, since text has come.
+    /// Ends the line, when the first text arrives or the request is over.
     pub fn stop(&self) {
         if !self.stopped.swap(true, Ordering::Relaxed) {
             eprintln!();
         }
     }
 
-    /// Runs `work` and shows the line beside it.
+    /// Runs `work` and updates the line until it completes.
     pub async fn show_during<T>(&self, work: impl Future<Output = T>) -> T {
         let work = pin!(work);
         if !self.shown {
             return work.await;
         }
-        let lines = pin!(self.lines());
-        let done = match select(work, lines).await {
+        let refresh = pin!(self.refresh());
+        let done = match select(work, refresh).await {
             Either::Left((done, _lines)) => done,
             Either::Right((_stopped, work)) => work.await,
         };
@@ -63,13 +63,13 @@
         done
     }
 
-    async fn lines(&self) {
-        let begin = Instant::now();
+    async fn refresh(&self) {
+        let started_at = Instant::now();
         while !self.stopped.load(Ordering::Relaxed) {
-            let waited_s = begin.elapsed().as_secs();
+            let waited_s = started_at.elapsed().as_secs();
             let (tokens, deadline_s) = (self.tokens, self.deadline.as_secs());
             eprint!("\rabout {tokens} tokens sent, {waited_s} s of {deadline_s} s waited");
-            sleep(PACE).await;
+            sleep(REFRESH_INTERVAL).await;
         }
     }
 }
--- a/crates/cli/src/ask/question.rs
+++ b/crates/cli/src/ask/request.rs
@@ -14,40 +14,41 @@
     },
 };
 
-/// Variable of the environment that holds the key where no option does.
+/// Environment variable that holds the key if no option does.
 const KEY_VARIABLE: &str = "WHINLATCH_KEY";
-/// Stands for the request's number in prompt, body and idempotency key.
-const NUMBER_MARK: &str = "{n}";
-/// Signs of a service name that mean nothing of their own in a path.
-const PLAIN_SIGNS: &[u8] = b"-._~@:+";
+/// Placeholder for the request's number in prompt, body and idempotency key.
+const NUMBER_PLACEHOLDER: &str = "{n}";
+/// Punctuation that a service name may contain, since it has no special meaning in a URL path.
+const PATH_SAFE_PUNCTUATION: &[u8] = b"-._~@:+";
 
-/// One request, ready to be sent as often as needed.
+/// A request of the command line that can be sent any number of times.
 #[derive(Debug, Clone)]
-pub(super) struct Question {
+pub(super) struct AskRequest {
+    /// Number within a batch, from 1.
     pub number: u32,
     pub deadline: Duration,
     pub idempotency_key: String,
-    /// The ticket that the user has from an earlier ask.
+    /// Ticket that the user has from an earlier run of the tool.
     pub ticket: Option<Ticket>,
     account: String,
     caller: Option<String>,
     key: Option<String>,
-    asked: Asked,
+    payload: Payload,
 }
 
 #[derive(Debug, Clone)]
-enum Asked {
+enum Payload {
     Prompt(CompletionRequest),
     Call { path: String, body: String },
 }
 
-impl Question {
+impl AskRequest {
     /// Checks the options and reads the prompt or body.
     pub fn new(options: &AskOptions) -> Result<Self, CliError> {
         check_counts(options)?;
         let key = options.key.clone().or_else(|| env::var(KEY_VARIABLE).ok());
         let account = options.account.clone().ok_or(CliError::NoAccount)?;
-        let random_key = || format!("{:032x}-{NUMBER_MARK}", fastrand::u128(..));
+        let random_key = || format!("{:032x}-{NUMBER_PLACEHOLDER}", fastrand::u128(..));
         let idempotency_key = options.idempotency_key.clone().unwrap_or_else(random_key);
         check_header("the account", Some(&account))?;
         check_header("the caller", options.caller.as_ref())?;
@@ -61,64 +62,69 @@
             account,
             caller: options.caller.clone(),
             key,
-            asked: Asked::new(&options.subject)?,
+            payload: Payload::new(&options.subject)?,
         })
     }
 
-    /// The same with the number put in where it is marked.
-    pub fn numbered(&self, number: u32) -> Self {
-        let put = |text: &str| text.replace(NUMBER_MARK, &number.to_string());
-        let asked = match &self.asked {
-            Asked::Prompt(request) => Asked::Prompt(CompletionRequest {
-                prompt: put(&request.prompt),
+    /// Returns a copy with this number in place of each placeholder.
+    pub fn with_number(&self, number: u32) -> Self {
+        let substitute = |text: &str| text.replace(NUMBER_PLACEHOLDER, &number.to_string());
+        let payload = match &self.payload {
+            Payload::Prompt(request) => Payload::Prompt(CompletionRequest {
+                prompt: substitute(&request.prompt),
                 ..request.clone()
             }),
-            Asked::Call { path, body } => Asked::Call {
+            Payload::Call { path, body } => Payload::Call {
                 path: path.clone(),
-                body: put(body),
+                body: substitute(body),
             },
         };
         Self {
             number,
-            asked,
-            idempotency_key: put(&self.idempotency_key),
+            payload,
+            idempotency_key: substitute(&self.idempotency_key),
             ..self.clone()
         }
     }
 
-    /// Tokens of the prompt, as estimated; 0 for a service call.
+    /// Returns the estimated number of prompt tokens; 0 for a service call.
     pub fn prompt_tokens(&self) -> u64 {
-        match &self.asked {
-            Asked::Prompt(request) => estimated_tokens(request.prompt.len()),
-            Asked::Call { .. } => 0,
+        match &self.payload {
+            Payload::Prompt(request) => estimated_tokens(request.prompt.len()),
+            Payload::Call { .. } => 0,
         }
     }
 
-    /// Whether the answer comes as server-sent events.
+    /// Returns true if the answer is a stream of server-sent events.
     pub fn is_streamed(&self) -> bool {
-        matches!(self.asked, Asked::Prompt(_))
+        matches!(self.payload, Payload::Prompt(_))
     }
 
     pub fn path(&self) -> &str {
-        match &self.asked {
-            Asked::Prompt(_) => COMPLETIONS_PATH,
-            Asked::Call { path, .. } => path,
+        match &self.payload {
+            Payload::Prompt(_) => COMPLETIONS_PATH,
+            Payload::Call { path, .. } => path,
         }
     }
 
-    /// The request as it goes to an entry, with the time that is left for it.
-    pub fn to_request(&self, url: Url, left: Duration, ticket: Option<Ticket>) -> Request {
+    /// Builds the HTTP request for an entry, with the remaining time as its deadline.
+    pub fn to_http_request(
+        &self,
+        url: Url,
+        remaining: Duration,
+        ticket: Option<Ticket>,
+    ) -> Request {
         let mut request = Request::post(url);
-        match &self.asked {
-            Asked::Prompt(body) => {
+        match &self.payload {
+            Payload::Prompt(body) => {
                 request.set_body(serde_json::to_string(body).unwrap_or_default());
                 request.set_content_type(mime::JSON);
             }
-            Asked::Call { body, .. } => request.set_body(body.as_str()),
+            Payload::Call { body, .. } => request.set_body(body.as_str()),
         }
-        let left_ms = left.as_millis().max(1).to_string();
+        let remaining_ms = remaining.as_millis().max(1).to_string();
         request.insert_header(ACCOUNT_HEADER, self.account.as_str());
-        request.insert_header(DEADLINE_HEADER, left_ms.as_str());
+        request.insert_header(DEADLINE_HEADER, remaining_ms.as_str());
         request.insert_header(IDEMPOTENCY_KEY_HEADER, self.idempotency_key.as_str());
         if let Some(caller) = &self.caller {
             request.insert_header(CALLER_HEADER, caller.as_str());
@@ -133,7 +139,7 @@
     }
 }
 
-impl Asked {
+impl Payload {
     fn new(subject: &Subject) -> Result<Self, CliError> {
         match subject {
             Subject::Prompt {
@@ -145,7 +151,7 @@
             } => Ok(Self::Prompt(CompletionRequest {
                 model: model.as_str().into(),
                 adapter: adapter.as_deref().map(Into::into),
-                prompt: text_of(prompt.as_deref(), prompt_file.as_deref())?,
+                prompt: read_text(prompt.as_deref(), prompt_file.as_deref())?,
                 max_tokens: *max_tokens,
                 stream: true,
             })),
@@ -154,8 +160,10 @@
                 body,
                 body_file,
             } => {
-                let plain = |byte: u8| byte.is_ascii_alphanumeric() || PLAIN_SIGNS.contains(&byte);
-                if service.is_empty() || !service.bytes().all(plain) {
+                let is_path_safe = |byte: u8| {
+                    byte.is_ascii_alphanumeric() || PATH_SAFE_PUNCTUATION.contains(&byte)
+                };
+                if service.is_empty() || !service.bytes().all(is_path_safe) {
                     return Err(CliError::BadServiceName {
                         name: service.clone(),
                     });
@@ -163,7 +171,7 @@
                 let path = format!("{SERVICES_PREFIX}{service}");
                 Ok(Self::Call {
                     path,
-                    body: text_of(body.as_deref(), body_file.as_deref())?,
+                    body: read_text(body.as_deref(), body_file.as_deref())?,
                 })
             }
         }
@@ -171,23 +179,23 @@
 }
 
 fn check_counts(options: &AskOptions) -> Result<(), CliError> {
-    let zero = |option| Err(CliError::Zero { option });
+    let reject_zero = |option| Err(CliError::Zero { option });
     if options.deadline_ms == 0 {
-        return zero("--deadline-ms");
+        return reject_zero("--deadline-ms");
     }
     if options.count == 0 {
-        return zero("--count");
+        return reject_zero("--count");
     }
     if options.ticket.is_some() && options.count > 1 {
         return Err(CliError::TicketForMany);
     }
     if options.concurrency == 0 {
-        return zero("--concurrency");
+        return reject_zero("--concurrency");
     }
     Ok(())
 }
 
-/// Refuses what would end the header it stands in and begin another.
+/// Rejects text that isn't visible ASCII: a line break could inject another header.
 fn check_header(what: &'static str, text: Option<&String>) -> Result<(), CliError> {
     match text {
         Some(text) if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_graphic()) => {
@@ -197,7 +205,7 @@
     }
 }
 
-fn text_of(text: Option<&str>, file: Option<&Path>) -> Result<String, CliError> {
+fn read_text(text: Option<&str>, file: Option<&Path>) -> Result<String, CliError> {
     if let Some(text) = text {
         return Ok(text.to_owned());
     }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks settings and record files, for people and for CI.
+//! The `check` command: validates settings and record files, with output for people and for CI.
 
 use {
     crate::errors::Exit,
@@ -10,35 +10,40 @@
     whinlatch_wire::conf::{ConfFault, ConfFile, check_file},
 };
 
-/// What became of each file.
+/// Results of all checked files, in the order of the command line. `--json` prints it as a list.
 #[derive(Debug, Serialize)]
 #[serde(transparent)]
-pub(crate) struct Checked {
-    files: Vec<CheckedFile>,
+pub(crate) struct CheckReport {
+    files: Vec<FileReport>,
 }
 
 #[derive(Debug, Serialize)]
-struct CheckedFile {
+struct FileReport {
     file: PathBuf,
-    holds: Option<&'static str>,
+    /// What the file contains, `settings` or `records`; `None` if it has faults.
+    #[serde(rename = "holds")]
+    kind: Option<&'static str>,
+    /// Number of records; `None` unless it is a valid file of records.
     records: Option<usize>,
     faults: Vec<Fault>,
 }
 
 #[derive(Debug, Serialize)]
 struct Fault {
+    /// Line of the file, from 1; 0 if the file can't be read.
     line: usize,
+    /// Path of the field, such as `limits.read_timeout_ms`; empty if the fault concerns the whole file.
     path: String,
     message: String,
 }
 
-pub(crate) fn check_files(files: &[PathBuf]) -> Checked {
-    Checked {
-        files: files.iter().map(|file| check_one(file)).collect(),
+pub(crate) fn check_files(files: &[PathBuf]) -> CheckReport {
+    CheckReport {
+        files: files.iter().map(|file| check_one_file(file)).collect(),
     }
 }
 
-impl Checked {
+impl CheckReport {
     pub fn exit(&self) -> Exit {
         if self.files.iter().all(|file| file.faults.is_empty()) {
             return Exit::Completed;
@@ -50,11 +55,11 @@
         if json {
             return serde_json::to_string_pretty(self).unwrap_or_default();
         }
-        self.files.iter().map(CheckedFile::to_text).collect()
+        self.files.iter().map(FileReport::to_text).collect()
     }
 }
 
-impl CheckedFile {
+impl FileReport {
     fn to_text(&self) -> String {
         let file = self.file.display();
         if self.faults.is_empty() {
@@ -64,7 +69,7 @@
                 .unwrap_or_default();
             return format!(
                 "{file}: {count}{}, no fault\n",
-                self.holds.unwrap_or_default()
+                self.kind.unwrap_or_default()
             );
         }
         let lines: Vec<String> = self
@@ -78,48 +83,49 @@
 
 impl Fault {
     fn to_text(&self, file: &Path) -> String {
-        let place = format!("{}:{}", file.display(), self.line);
+        let location = format!("{}:{}", file.display(), self.line);
         if self.path.is_empty() {
-            return format!("{place}: {}\n", self.message);
+            return format!("{location}: {}\n", self.message);
         }
-        format!("{place}: `{}`: {}\n", self.path, self.message)
+        format!("{location}: `{}`: {}\n", self.path, self.message)
     }
 }
 
-fn check_one(file: &Path) -> CheckedFile {
+fn check_one_file(file: &Path) -> FileReport {
     let text = match fs::read_to_string(file) {
         Ok(text) => text,
         Err(error) => {
-            let message = format!("the file can't be read ({error}): check path and permissions");
+            let message =
+                format!("can't read the file ({error}): check the path and its permissions");
             let fault = Fault {
                 line: 0,
                 path: String::new(),
                 message,
             };
-            return CheckedFile::faulty(file, vec![fault]);
+            return FileReport::invalid(file, vec![fault]);
         }
     };
     match check_file(&text) {
-        Ok(ConfFile::Settings(_)) => CheckedFile::good(file, "settings", None),
-        Ok(ConfFile::Records(entries)) => CheckedFile::good(file, "records", Some(entries.len())),
-        Err(faults) => CheckedFile::faulty(file, faults.iter().map(to_fault).collect()),
+        Ok(ConfFile::Settings(_)) => FileReport::valid(file, "settings", None),
+        Ok(ConfFile::Records(entries)) => FileReport::valid(file, "records", Some(entries.len())),
+        Err(faults) => FileReport::invalid(file, faults.iter().map(to_fault).collect()),
     }
 }
 
-impl CheckedFile {
-    fn good(file: &Path, holds: &'static str, records: Option<usize>) -> Self {
+impl FileReport {
+    fn valid(file: &Path, kind: &'static str, records: Option<usize>) -> Self {
         Self {
             file: file.to_owned(),
-            holds: Some(holds),
+            kind: Some(kind),
             records,
             faults: Vec::new(),
         }
     }
 
-    fn faulty(file: &Path, faults: Vec<Fault>) -> Self {
+    fn invalid(file: &Path, faults: Vec<Fault>) -> Self {
         Self {
             file: file.to_owned(),
-            holds: None,
+            kind: None,
             records: None,
             faults,
         }
--- a/crates/cli/src/cli.rs
+++ b/crates/cli/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options and the dispatch of commands.
 
 mod options;
 mod run;
--- a/crates/cli/src/cli/run.rs
+++ b/crates/cli/src/cli/run.rs
@@ -5,23 +5,25 @@
         check::check_files,
         entries::EntryList,
         errors::{CliError, Exit},
-        reports::{explain, losses_of_log, show_entries, show_records, show_status, story_of_log},
+        reports::{
+            explain, losses_from_logs, show_entries, show_records, show_status, timeline_from_logs,
+        },
     },
     async_std::task::block_on,
     bpaf::{Args, ParseFailure},
     std::{io::Write, net::SocketAddr, process::ExitCode},
 };
 
-/// Addresses of entries, joined by commas, that are used where no option names one.
+/// Environment variable with the addresses of entries, separated by commas; used if no option names one.
 const ENTRY_VARIABLE: &str = "WHINLATCH_ENTRY";
-/// Width of help texts.
+/// Line width of help texts, in characters.
 const HELP_WIDTH: usize = 100;
 
-/// Runs the command of the command line.
+/// Parses the command line, runs the command and returns the exit code.
 pub(crate) fn run() -> ExitCode {
     let command = match command().run_inner(Args::current_args()) {
         Ok(command) => command,
-        Err(failure) => return end_of_parsing(&failure).into(),
+        Err(failure) => return report_parse_failure(&failure).into(),
     };
     match block_on(execute(command)) {
         Ok(exit) => exit.into(),
@@ -32,7 +34,7 @@
     }
 }
 
-fn end_of_parsing(failure: &ParseFailure) -> Exit {
+fn report_parse_failure(failure: &ParseFailure) -> Exit {
     failure.print_message(HELP_WIDTH);
     match failure {
         ParseFailure::Stderr(_) => Exit::Usage,
@@ -43,7 +45,7 @@
 async fn execute(command: Command) -> Result<Exit, CliError> {
     match command {
         Command::Ask(options) => {
-            let entries = EntryList::new(given(&options.entry)?);
+            let entries = EntryList::new(entry_addresses(&options.entry)?);
             ask::run(&options, entries).await
         }
         Command::Entries(options) => {
@@ -59,16 +61,16 @@
             options,
             logs,
             request,
-        } if !logs.is_empty() => print(&story_of_log(&logs, &request, options.json)?),
+        } if !logs.is_empty() => print(&timeline_from_logs(&logs, &request, options.json)?),
         Command::Explain {
             options, request, ..
         } => {
             let request = request
                 .parse()
-                .map_err(|_unreadable| CliError::BadRequestId { text: request })?;
+                .map_err(|_error| CliError::BadRequestId { text: request })?;
             print(&explain(&entry_list(&options)?, request, options.json).await?)
         }
-        Command::Losses { json, logs } => print(&losses_of_log(&logs, json)?),
+        Command::Losses { json, logs } => print(&losses_from_logs(&logs, json)?),
         Command::Check { json, files } => {
             let checked = check_files(&files);
             print(&checked.to_text(json))?;
@@ -83,22 +85,22 @@
 }
 
 fn entry_list(options: &ReportOptions) -> Result<EntryList, CliError> {
-    Ok(EntryList::new(given(&options.entry)?))
+    Ok(EntryList::new(entry_addresses(&options.entry)?))
 }
 
-fn given(by_option: &[SocketAddr]) -> Result<Vec<SocketAddr>, CliError> {
-    if !by_option.is_empty() {
-        return Ok(by_option.to_vec());
+fn entry_addresses(from_option: &[SocketAddr]) -> Result<Vec<SocketAddr>, CliError> {
+    if !from_option.is_empty() {
+        return Ok(from_option.to_vec());
     }
     let text = std::env::var(ENTRY_VARIABLE).unwrap_or_default();
-    let parts = text
+    let items = text
         .split(',')
         .map(str::trim)
-        .filter(|part| !part.is_empty());
-    let addresses: Vec<SocketAddr> = parts
-        .map(|part| {
-            part.parse().map_err(|_not_one| CliError::BadEntry {
-                text: part.to_owned(),
+        .filter(|item| !item.is_empty());
+    let addresses: Vec<SocketAddr> = items
+        .map(|item| {
+            item.parse().map_err(|_error| CliError::BadEntry {
+                text: item.to_owned(),
             })
         })
         .collect::<Result<_, _>>()?;
--- a/crates/cli/src/entries.rs
+++ b/crates/cli/src/entries.rs
@@ -1,4 +1,5 @@
-//! The entries that may be used: looked up, kept for their lifetime, and avoided while they fail.
+//! Entries to send requests to: looked up at an entry, cached for the lifetime of the list, and looked up again
+//! after one of them fails.
 
 use {
     crate::http::get,
@@ -10,67 +11,73 @@
     whinlatch_wire::caller::{ENTRIES_PATH, Entries},
 };
 
-/// Entries to choose from.
+/// Entries that the user named, and the list of entries that one of them returned.
 #[derive(Debug)]
 pub(crate) struct EntryList {
-    given: Vec<SocketAddr>,
-    /// Locked during a lookup, so that many requests at once make one lookup.
-    known: Mutex<Option<Known>>,
+    configured: Vec<SocketAddr>,
+    /// Last lookup. Locked during a lookup, so that concurrent requests make only one.
+    cached: Mutex<Option<CachedLookup>>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct CachedLookup {
     addresses: Vec<SocketAddr>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl EntryList {
-    pub fn new(given: Vec<SocketAddr>) -> Self {
+    pub fn new(configured: Vec<SocketAddr>) -> Self {
         Self {
-            given,
-            known: Mutex::new(None),
+            configured,
+            cached: Mutex::new(None),
         }
     }
 
-    /// The entries named by the user.
-    pub fn given(&self) -> &[SocketAddr] {
-        &self.given
+    /// Returns the entries that the user named.
+    pub fn configured(&self) -> &[SocketAddr] {
+        &self.configured
     }
 
-    /// Entries to use, best first: those of the last lookup while it lives, else those of a new
-    /// one. Where no lookup is answered, those of the last one and those given.
-    pub async fn usable(&self) -> Vec<SocketAddr> {
-        let mut known = self.known.lock().await;
-        if let Some(Known { addresses, until }) = &*known
-            && *until > Instant::now()
+    /// Returns the entries to use, best first: those of the cached lookup until it expires, then those of a new
+    /// one. If no entry answers the lookup, returns the configured entries followed by those of the last lookup.
+    pub async fn candidates(&self) -> Vec<SocketAddr> {
+        let mut cached = self.cached.lock().await;
+        if let Some(CachedLookup {
+            addresses,
+            expires_at,
+        }) = &*cached
+            && *expires_at > Instant::now()
         {
             return addresses.clone();
         }
-        let mut to_ask = self.given.clone();
-        let last = known.iter().flat_map(|known| &known.addresses);
-        to_ask.extend(last.filter(|address| !self.given.contains(address)));
-        for entry in &to_ask {
-            if let Some(found) = look_up(*entry).await {
-                let addresses = found.addresses.clone();
-                *known = Some(found);
+        let mut to_query = self.configured.clone();
+        let previous = cached.iter().flat_map(|cached| &cached.addresses);
+        to_query.extend(previous.filter(|address| !self.configured.contains(address)));
+        for entry in &to_query {
+            if let Some(lookup) = look_up(*entry).await {
+                let addresses = lookup.addresses.clone();
+                *cached = Some(lookup);
                 return addresses;
             }
         }
-        to_ask
+        to_query
     }
 
-    /// Ends the lifetime of the last lookup, after one of its entries refused or didn't answer.
+    /// Expires the cached lookup, after one of its entries refused a request or didn't answer.
     pub async fn expire(&self) {
-        if let Some(known) = &mut *self.known.lock().await {
-            known.until = Instant::now();
+        if let Some(cached) = &mut *self.cached.lock().await {
+            cached.expires_at = Instant::now();
         }
     }
 }
 
-async fn look_up(entry: SocketAddr) -> Option<Known> {
+async fn look_up(entry: SocketAddr) -> Option<CachedLookup> {
     let (status, text) = get(entry, ENTRIES_PATH).await.ok()?;
     let entries: Entries = (status == 200).then(|| serde_json::from_str(&text).ok())??;
     let addresses: Vec<_> = entries.entries.iter().map(|entry| entry.address).collect();
-    let until = Instant::now() + Duration::from_millis(entries.ttl_ms);
-    (!addresses.is_empty()).then_some(Known { addresses, until })
+    let expires_at = Instant::now() + Duration::from_millis(entries.ttl_ms);
+    (!addresses.is_empty()).then_some(CachedLookup {
+        addresses,
+        expires_at,
+    })
 }
--- a/crates/cli/src/errors.rs
+++ b/crates/cli/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong outside a daemon's own outcome, and the exit code of each end.
+//! Errors other than the outcomes that daemons report, and the exit codes.
 
 use {
     std::{io, net::SocketAddr, path::PathBuf, process::ExitCode},
@@ -6,18 +6,18 @@
     whinlatch_wire::ids::RequestId,
 };
 
-/// How the tool ends. The numbers are documented and don't change.
+/// Exit code of the tool. The numbers are documented and stable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// Completed, or the file is good.
+    /// The request completed, or the files are valid.
     Completed = 0,
-    /// A daemon answered what can't be used.
+    /// A daemon's answer can't be used, the request isn't known, or standard output failed.
     BadAnswer = 1,
-    /// Wrong options or a faulty file.
+    /// Invalid options, an unreadable input, or a file with faults.
     Usage = 2,
-    /// The request was not run.
+    /// No target ran the request and none will.
     NotRun = 3,
-    /// The request may have been run.
+    /// The request may have run.
     Unknown = 4,
     /// No entry could be reached.
     NoEntry = 5,
@@ -31,48 +31,50 @@
 
 #[derive(Debug, Error)]
 pub(crate) enum CliError {
-    #[error("no entry is given: name one with --entry ADDRESS or in WHINLATCH_ENTRY")]
+    #[error("no entry given: pass --entry ADDRESS or set WHINLATCH_ENTRY")]
     NoEntryGiven,
-    #[error("{text:?} in WHINLATCH_ENTRY is not an address: write IP:PORT, several with commas")]
+    #[error("{text:?} in WHINLATCH_ENTRY is not an address: use IP:PORT, separated by commas")]
     BadEntry { text: String },
     #[error(
-        "{text:?} is no id of a request: give 32 hexadecimal digits, or --log FILE for ids of others"
+        "{text:?} is not a request id: use 32 hexadecimal digits, or --log FILE to look up other ids"
     )]
     BadRequestId { text: String },
-    #[error("no line tells of request {request}: give the logs of all instances with --log")]
+    #[error("no log line mentions request {request}: pass the logs of all instances with --log")]
     NotLogged { request: String },
-    #[error("no account is given: name one with --account NAME or in WHINLATCH_ACCOUNT")]
+    #[error("no account given: pass --account NAME or set WHINLATCH_ACCOUNT")]
     NoAccount,
     #[error("{what} can't be sent in a header: use visible ASCII characters only")]
     NotAscii { what: &'static str },
     #[error(
-        "the service name {name:?} can't stand in a path: use ASCII letters, digits and -._~@:+"
+        "the service name {name:?} is not valid in a URL path: use ASCII letters, digits and -._~@:+"
     )]
     BadServiceName { name: String },
-    #[error("{option} is 0: give at least 1")]
+    #[error("{option} is 0: use at least 1")]
     Zero { option: &'static str },
-    #[error("--ticket is for one request: leave out --count")]
+    #[error("--ticket applies to one request: remove --count")]
     TicketForMany,
-    #[error("{path} can't be read ({source}): check the path and its permissions")]
+    #[error("can't read {path} ({source}): check the path and its permissions")]
     File { path: PathBuf, source: io::Error },
-    #[error("standard input can't be read as text ({0}): give UTF-8 text, or a file by option")]
+    #[error("can't read standard input as text ({0}): pass UTF-8 text, or a file by option")]
     Stdin(io::Error),
-    #[error("standard output can't be written ({0}): check what reads it")]
+    #[error("can't write to standard output ({0}): check the process that reads it")]
     Stdout(#[from] io::Error),
     #[error(
-        "no entry could be reached (tried {}): check the addresses and that one runs",
-        list(tried)
+        "no entry could be reached (tried {}): check the addresses and that an entry is running",
+        join_addresses(tried)
     )]
     NoEntry { tried: Vec<SocketAddr> },
     #[error(
-        "{entry} answered {status} ({detail}): check that whinlatchd of this version runs there"
+        "{entry} answered {status} ({detail}): check that whinlatchd of this version is running there"
     )]
     BadAnswer {
         entry: SocketAddr,
         status: u16,
         detail: String,
     },
-    #[error("no entry knows request {request}: decisions are kept for a while, by the entry asked")]
+    #[error(
+        "no entry knows request {request}: only the entry that admitted it keeps its decisions, and only for a while"
+    )]
     NotKnown { request: RequestId },
 }
 
@@ -98,7 +100,7 @@
     }
 }
 
-fn list(addresses: &[SocketAddr]) -> String {
+fn join_addresses(addresses: &[SocketAddr]) -> String {
     let texts: Vec<_> = addresses.iter().map(SocketAddr::to_string).collect();
     texts.join(", ")
 }
--- a/crates/cli/src/http.rs
+++ b/crates/cli/src/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 exchange, and server-sent events.
+//! HTTP/1.1 requests over one connection each, and a reader of server-sent events.
 
 mod exchange;
 mod sse;
--- a/crates/cli/src/http/sse.rs
+++ b/crates/cli/src/http/sse.rs
@@ -3,19 +3,19 @@
 
 use async_std::io::{self, BufRead, ReadExt, prelude::BufReadExt};
 
-/// Largest event, in bytes.
+/// Maximum size of an event, in bytes; limits what a faulty server makes the tool keep in memory.
 const MAX_EVENT_BYTES: usize = 1_048_576;
 
 /// One server-sent event.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(crate) struct Event {
-    /// Name of the event; empty for the usual ones.
+    /// Value of the `event` field; empty if the event has none.
     pub name: String,
-    /// The data lines, joined.
+    /// Values of the `data` fields, joined by line breaks.
     pub data: String,
 }
 
-/// Reads server-sent events one by one.
+/// Reads server-sent events from a stream.
 #[derive(Debug)]
 pub(crate) struct EventReader<R> {
     reader: R,
@@ -26,26 +26,26 @@
         Self { reader }
     }
 
-    /// The next event that has data, or `None` at the end of the stream. An event that the stream
-    /// ends in is not whole and is dropped.
+    /// Returns the next event that has data, or `None` at the end of the stream. An event that the stream
+    /// ends in the middle of is incomplete and is dropped.
     pub async fn next(&mut self) -> io::Result<Option<Event>> {
         let mut event = Event::default();
         let mut has_data = false;
         loop {
-            let left = MAX_EVENT_BYTES.saturating_sub(event.data.len() + event.name.len());
-            let Some(line) = self.line(left).await? else {
+            let remaining = MAX_EVENT_BYTES.saturating_sub(event.data.len() + event.name.len());
+            let Some(line) = self.read_line(remaining).await? else {
                 return Ok(None);
             };
             if line.is_empty() && has_data {
                 return Ok(Some(event));
             }
             match line.split_once(':').unwrap_or((&line, "")) {
-                ("event", value) => field(value).clone_into(&mut event.name),
+                ("event", value) => field_value(value).clone_into(&mut event.name),
                 ("data", value) => {
                     if has_data {
                         event.data.push('\n');
                     }
-                    event.data.push_str(field(value));
+                    event.data.push_str(field_value(value));
                     has_data = true;
                 }
                 ("", "") => event.name.clear(),
@@ -54,7 +54,7 @@
         }
     }
 
-    async fn line(&mut self, limit: usize) -> io::Result<Option<String>> {
+    async fn read_line(&mut self, limit: usize) -> io::Result<Option<String>> {
         let mut bytes = Vec::new();
         (&mut self.reader)
             .take(limit as u64)
@@ -62,7 +62,7 @@
             .await?;
         if bytes.pop_if(|last| *last == b'\n').is_none() {
             if bytes.len() >= limit {
-                return Err(io::Error::other("an event is over the limit"));
+                return Err(io::Error::other("an event exceeds the size limit"));
             }
             return Ok(None);
         }
@@ -71,6 +71,6 @@
     }
 }
 
-fn field(value: &str) -> &str {
+fn field_value(value: &str) -> &str {
     value.strip_prefix(' ').unwrap_or(value)
 }
--- a/crates/cli/src/http/sse/tests.rs
+++ b/crates/cli/src/http/sse/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn events_are_told_apart_and_comments_passed_over() {
+fn events_are_separated_and_comments_skipped() {
     let text = ": waiting\n\ndata: a\n\nevent: outcome\r\ndata: b\r\ndata:c\r\n\r\nid: 1\ndata\n\n";
 
     assert_eq!(
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn a_name_without_data_does_not_pass_to_the_next_event() {
+fn a_name_without_data_does_not_carry_over_to_the_next_event() {
     assert_eq!(read_all("event: outcome\n\ndata: a\n\n"), [event("", "a")]);
 }
 
-/// A daemon that dies sends half an event. Taken for whole, half a text would be printed as an
-/// answer, or half an outcome as the truth.
+/// A daemon that dies while it writes leaves an incomplete event. If it were returned, truncated text would be
+/// printed, or a truncated outcome reported.
 #[test]
 fn an_event_that_the_stream_ends_in_is_dropped() {
     assert_eq!(read_all("data: a\n\ndata: b"), [event("", "a")]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn an_event_over_the_size_limit_is_an_error() {
     let text = format!("data: {}\n\n", "x".repeat(MAX_EVENT_BYTES));
     let mut reader = EventReader::new(Cursor::new(text.as_bytes()));
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command-line tool of whinlatch: asks, reads what daemons report and checks files.
+//! Command-line tool of whinlatch: sends requests, shows the reports of daemons and checks files.
 
 mod ask;
 mod check;
--- a/crates/cli/src/reports/entries.rs
+++ b/crates/cli/src/reports/entries.rs
@@ -4,18 +4,18 @@
     whinlatch_wire::caller::{ENTRIES_PATH, Entries},
 };
 
-/// The entries to use, best first, and for how long.
+/// Shows the entries to use, best first, and how long the list is valid.
 pub(crate) async fn show_entries(entries: &EntryList, json: bool) -> Result<String, CliError> {
-    let (report, written) = fetch::<Entries>(entries, ENTRIES_PATH).await?;
+    let (report, raw) = fetch::<Entries>(entries, ENTRIES_PATH).await?;
     if json {
-        return Ok(format!("{written:#}"));
+        return Ok(format!("{raw:#}"));
     }
     let mut table = Table::new(&["ADDRESS", "FAILURE DOMAIN"]);
     for entry in &report.entries {
-        table.row(&[&entry.address, &entry.failure_domain]);
+        table.push_row(&[&entry.address, &entry.failure_domain]);
     }
     Ok(format!(
-        "{}use them for {} ms\n",
+        "{}valid for {} ms\n",
         table.to_text(),
         report.ttl_ms
     ))
--- a/crates/cli/src/reports/explain.rs
+++ b/crates/cli/src/reports/explain.rs
@@ -1,5 +1,5 @@
 use {
-    super::{fetch::understand, table::Table},
+    super::{fetch::parse_report, table::Table},
     crate::{entries::EntryList, errors::CliError, http::get},
     std::net::SocketAddr,
     whinlatch_wire::{caller::DECISIONS_PREFIX, ids::RequestId, report::DecisionReport},
@@ -7,46 +7,47 @@
 
 const NOT_FOUND: u16 = 404;
 
-/// What was decided about a request. Only the daemon that admitted it knows, so all are asked.
+/// Shows the decisions made about a request. Only the daemon that admitted it keeps them, so the entries are
+/// queried one after another until one knows the request.
 pub(crate) async fn explain(
     entries: &EntryList,
     request: RequestId,
     json: bool,
 ) -> Result<String, CliError> {
     let path = format!("{DECISIONS_PREFIX}{request}");
-    let mut to_ask: Vec<SocketAddr> = entries.given().to_vec();
-    for entry in entries.usable().await {
-        if !to_ask.contains(&entry) {
-            to_ask.push(entry);
+    let mut to_query: Vec<SocketAddr> = entries.configured().to_vec();
+    for entry in entries.candidates().await {
+        if !to_query.contains(&entry) {
+            to_query.push(entry);
         }
     }
-    let mut answered = false;
-    for entry in &to_ask {
+    let mut any_answered = false;
+    for entry in &to_query {
         match get(*entry, &path).await {
-            Ok((NOT_FOUND, _)) => answered = true,
-            Ok((status, text)) => return written(*entry, status, &text, json),
+            Ok((NOT_FOUND, _)) => any_answered = true,
+            Ok((status, text)) => return render(*entry, status, &text, json),
             Err(_no_answer) => {}
         }
     }
-    if answered {
+    if any_answered {
         return Err(CliError::NotKnown { request });
     }
-    Err(CliError::NoEntry { tried: to_ask })
+    Err(CliError::NoEntry { tried: to_query })
 }
 
-fn written(entry: SocketAddr, status: u16, text: &str, json: bool) -> Result<String, CliError> {
-    let (report, written) = understand::<DecisionReport>(entry, status, text)?;
+fn render(entry: SocketAddr, status: u16, text: &str, json: bool) -> Result<String, CliError> {
+    let (report, raw) = parse_report::<DecisionReport>(entry, status, text)?;
     if json {
-        return Ok(format!("{written:#}"));
+        return Ok(format!("{raw:#}"));
     }
     let mut table = Table::new(&["AFTER", "PART", "DECISION"]);
     for step in &report.steps {
-        table.row(&[&format!("{} ms", step.after_ms), &step.part, &step.text]);
+        table.push_row(&[&format!("{} ms", step.after_ms), &step.part, &step.text]);
     }
-    let end = report
+    let outcome = report
         .outcome
         .map_or("still in flight".to_owned(), |outcome| {
             format!("{}: {}", outcome.outcome, outcome.message)
         });
-    Ok(format!("{}{end}\n", table.to_text()))
+    Ok(format!("{}{outcome}\n", table.to_text()))
 }
--- a/crates/cli/src/reports/losses.rs
+++ b/crates/cli/src/reports/losses.rs
@@ -1,25 +1,25 @@
 use {
-    super::{log_story::read_lines, logged_request::LoggedRequest, table::Table},
+    super::{logged_request::LoggedRequest, table::Table, timeline::read_lines},
     crate::errors::CliError,
     serde::Serialize,
     std::{collections::BTreeMap, path::PathBuf},
 };
 
-/// Milliseconds in a second.
+/// Milliseconds per second, to group requests by the second in which they started.
 const MS_PER_S: u64 = 1_000;
-/// Seconds that are shown, those with the most requests that weren't served in time.
+/// Number of seconds that the table shows: those with the most requests that weren't served in time.
 const WORST_SECONDS: usize = 10;
-/// What a request's route is called that no line names.
-const NO_ROUTE: &str = "(none)";
+/// Route shown for requests whose lines name none.
+const UNKNOWN_ROUTE: &str = "(none)";
 
-/// How requests of one kind, or of one second, ended.
+/// Number of requests of one route, or of one second, by how they ended.
 #[derive(Debug, Default, Clone, Serialize)]
 struct Tally {
     requests: usize,
     late: usize,
-    /// Streams that began in time and paused for too long.
+    /// Streams that started in time but had too long a gap between two events.
     paused: usize,
-    /// Refused at least once, whatever became of the next try.
+    /// Requests that were submitted again after a refusal; also counted by how the last submission ended.
     came_back: usize,
     refused: usize,
     failed: usize,
@@ -28,12 +28,12 @@
 }
 
 impl Tally {
-    fn not_in_time(&self) -> usize {
+    fn missed(&self) -> usize {
         self.late + self.paused + self.refused + self.failed + self.cut + self.left
     }
 }
 
-/// Where requests of a day weren't served in time.
+/// Requests in log files that weren't served in time, by route, second and reason.
 #[derive(Debug, Default, Serialize)]
 struct Losses {
     routes: BTreeMap<String, Tally>,
@@ -41,10 +41,9 @@
     reasons: BTreeMap<String, usize>,
 }
 
-/// Tells from log lines of any number of instances, in any order, which requests weren't served in
-/// time: by route, by second and by reason.
-pub(crate) fn losses_of_log(files: &[PathBuf], json: bool) -> Result<String, CliError> {
-    let losses = Losses::of(&LoggedRequest::all_in(&read_lines(files)?));
+/// Reports which requests weren't served in time, from log files of any number of instances, in any order.
+pub(crate) fn losses_from_logs(files: &[PathBuf], json: bool) -> Result<String, CliError> {
+    let losses = Losses::from_requests(&LoggedRequest::from_lines(&read_lines(files)?));
     if json {
         return Ok(format!("{:#}", serde_json::json!(losses)));
     }
@@ -52,18 +51,18 @@
 }
 
 impl Losses {
-    fn of(requests: &[LoggedRequest]) -> Self {
+    fn from_requests(requests: &[LoggedRequest]) -> Self {
         let mut losses = Self::default();
         for request in requests {
             let Some(ended) = &request.ended else {
                 continue;
             };
-            let route = request.route.as_deref().unwrap_or(NO_ROUTE);
-            let second = request.began_ms() / MS_PER_S;
+            let route = request.route.as_deref().unwrap_or(UNKNOWN_ROUTE);
+            let second = request.started_ms() / MS_PER_S;
             let by_route = losses.routes.entry(route.to_owned()).or_default();
-            by_route.note(request, &ended.outcome);
+            by_route.add(request, &ended.outcome);
             let by_second = losses.seconds.entry(second).or_default();
-            by_second.note(request, &ended.outcome);
+            by_second.add(request, &ended.outcome);
             if !ended.reason.is_empty() {
                 let reason = format!("{}: {}", ended.outcome, ended.reason);
                 *losses.reasons.entry(reason).or_default() += 1;
@@ -85,19 +84,19 @@
         ];
         let mut routes = Table::new(&[&["ROUTE"], &head[..]].concat());
         for (route, tally) in &self.routes {
-            routes.row(&tally.cells(route));
+            routes.push_row(&tally.cells(route));
         }
         let mut worst: Vec<(&u64, &Tally)> = self.seconds.iter().collect();
-        worst.sort_by_key(|(second, tally)| (std::cmp::Reverse(tally.not_in_time()), **second));
+        worst.sort_by_key(|(second, tally)| (std::cmp::Reverse(tally.missed()), **second));
         worst.truncate(WORST_SECONDS);
         worst.sort_unstable_by_key(|(second, _)| **second);
         let mut seconds = Table::new(&[&["SECOND"], &head[..]].concat());
         for (second, tally) in worst {
-            seconds.row(&tally.cells(second));
+            seconds.push_row(&tally.cells(second));
         }
         let mut reasons = Table::new(&["REQUESTS", "REASON"]);
         for (reason, count) in &self.reasons {
-            reasons.row(&[count, reason]);
+            reasons.push_row(&[count, reason]);
         }
         [routes, seconds, reasons]
             .map(|table| table.to_text())
@@ -106,7 +105,7 @@
 }
 
 impl Tally {
-    fn note(&mut self, request: &LoggedRequest, outcome: &str) {
+    fn add(&mut self, request: &LoggedRequest, outcome: &str) {
         self.requests += 1;
         self.came_back += usize::from(request.came_back);
         match outcome {
--- a/crates/cli/src/reports/records.rs
+++ b/crates/cli/src/reports/records.rs
@@ -8,11 +8,11 @@
     },
 };
 
-/// The records: the revision in force, where, or why one was rejected.
+/// Shows the records with the revision in force and the instances that hold it, or why one was rejected.
 pub(crate) async fn show_records(entries: &EntryList, json: bool) -> Result<String, CliError> {
-    let (report, written) = fetch::<RecordsReport>(entries, RECORDS_REPORT_PATH).await?;
+    let (report, raw) = fetch::<RecordsReport>(entries, RECORDS_REPORT_PATH).await?;
     if json {
-        return Ok(format!("{written:#}"));
+        return Ok(format!("{raw:#}"));
     }
     let mut table = Table::new(&["KEY", "REVISION", "IN FORCE", "HELD BY", "STATE"]);
     for record in &report.records {
@@ -21,12 +21,12 @@
             .map_or("-".to_owned(), |revision| revision.to_string());
         let held_by: Vec<_> = record.instances.iter().map(InstanceName::as_str).collect();
         let held_by = held_by.join(",");
-        table.row(&[
+        table.push_row(&[
             &record.key,
             &record.revision,
             &in_force,
             &held_by,
-            &state(&record.state),
+            &state_text(&record.state),
         ]);
     }
     Ok(format!(
@@ -37,7 +37,7 @@
     ))
 }
 
-fn state(state: &RecordState) -> String {
+fn state_text(state: &RecordState) -> String {
     match state {
         RecordState::InForce => "in force".to_owned(),
         RecordState::Deleted => "deleted".to_owned(),
--- a/crates/cli/src/reports/status.rs
+++ b/crates/cli/src/reports/status.rs
@@ -9,19 +9,24 @@
     },
 };
 
-/// Digits of an incarnation that are shown in a table.
-const SHOWN_DIGITS: usize = 8;
+/// Leading digits of an incarnation that a table shows.
+const INCARNATION_DIGITS: usize = 8;
 
-/// A daemon with its peers and targets.
+/// Shows a daemon with its peers and targets.
 pub(crate) async fn show_status(entries: &EntryList, json: bool) -> Result<String, CliError> {
-    let (report, written) = fetch::<StatusReport>(entries, STATUS_PATH).await?;
+    let (report, raw) = fetch::<StatusReport>(entries, STATUS_PATH).await?;
     if json {
-        return Ok(format!("{written:#}"));
+        return Ok(format!("{raw:#}"));
     }
-    Ok([head(&report), peers(&report), targets(&report)].join("\n"))
+    Ok([
+        instance_table(&report),
+        peer_table(&report),
+        target_table(&report),
+    ]
+    .join("\n"))
 }
 
-fn head(report: &StatusReport) -> String {
+fn instance_table(report: &StatusReport) -> String {
     let mut table = Table::new(&[
         "INSTANCE",
         "DOMAIN",
@@ -32,54 +37,54 @@
         "RECORDS",
         "PLATFORM",
     ]);
-    table.row(&[
+    table.push_row(&[
         &report.instance,
         &report.failure_domain,
-        &short(report.incarnation),
+        &short_incarnation(report.incarnation),
         &format!("{} s", report.uptime_ms / 1_000),
         &if report.leaving { "leaving" } else { "serving" },
         &report.requests_in_flight,
         &format!("to revision {}", report.newest_revision),
-        &platform(&report.platform),
+        &platform_text(&report.platform),
     ]);
     table.to_text()
 }
 
-fn platform(status: &PlatformStatus) -> String {
-    let reach = if status.reachable {
+fn platform_text(status: &PlatformStatus) -> String {
+    let reachability = if status.reachable {
         "reachable"
     } else {
         "not reachable"
     };
-    let last = status
+    let last_answer = status
         .last_answer_ms
         .map_or("never answered".to_owned(), |age| {
             format!("answered {age} ms ago")
         });
-    format!("{reach}, {last}, {} reads", status.reads)
+    format!("{reachability}, {last_answer}, {} reads", status.reads)
 }
 
-fn peers(report: &StatusReport) -> String {
+fn peer_table(report: &StatusReport) -> String {
     let mut table = Table::new(&["PEER", "DOMAIN", "RUN", "STATE", "LINK"]);
     for peer in &report.peers {
-        table.row(&[
+        table.push_row(&[
             &peer.instance,
             &peer.failure_domain,
-            &short(peer.incarnation),
-            &member_state(peer.state),
+            &short_incarnation(peer.incarnation),
+            &state_text(peer.state),
             &if peer.linked { "open" } else { "-" },
         ]);
     }
     table.to_text()
 }
 
-fn targets(report: &StatusReport) -> String {
+fn target_table(report: &StatusReport) -> String {
     let mut table = Table::new(&["TARGET", "RUN", "STATE", "IN FLIGHT", "BACKLOG", "PREFILL"]);
     for target in &report.targets {
-        table.row(&[
+        table.push_row(&[
             &target.target,
-            &target.incarnation.map_or("-".to_owned(), short),
-            &health(target.health),
+            &target.incarnation.map_or("-".to_owned(), short_incarnation),
+            &health_text(target.health),
             &target.in_flight,
             &format!("{} ms", target.backlog_ms),
             &format!("{:.0} tokens/s", target.prefill_tokens_per_s),
@@ -88,11 +93,15 @@
     table.to_text()
 }
 
-fn short(incarnation: Incarnation) -> String {
-    incarnation.to_string().chars().take(SHOWN_DIGITS).collect()
+fn short_incarnation(incarnation: Incarnation) -> String {
+    incarnation
+        .to_string()
+        .chars()
+        .take(INCARNATION_DIGITS)
+        .collect()
 }
 
-fn member_state(state: MemberState) -> &'static str {
+fn state_text(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
         MemberState::Suspect => "suspect",
@@ -101,7 +110,7 @@
     }
 }
 
-fn health(health: TargetHealth) -> &'static str {
+fn health_text(health: TargetHealth) -> &'static str {
     match health {
         TargetHealth::Serving => "serving",
         TargetHealth::Leaving => "leaving",
--- a/crates/cli/src/reports/table.rs
+++ b/crates/cli/src/reports/table.rs
@@ -1,10 +1,10 @@
-/// Columns of text, each as wide as its widest cell.
+/// Text table whose columns are as wide as their widest cell. The first row is the head.
 #[derive(Debug)]
 pub(super) struct Table {
     rows: Vec<Vec<String>>,
 }
 
-const GAP: &str = "  ";
+const COLUMN_GAP: &str = "  ";
 
 impl Table {
     pub fn new(head: &[&str]) -> Self {
@@ -13,7 +13,7 @@
         }
     }
 
-    pub fn row(&mut self, cells: &[&dyn ToString]) {
+    pub fn push_row(&mut self, cells: &[&dyn ToString]) {
         self.rows
             .push(cells.iter().map(|cell| cell.to_string()).collect());
     }
@@ -28,16 +28,20 @@
                 .unwrap_or_default()
         };
         let widths: Vec<usize> = (0..columns).map(width).collect();
-        let lines: Vec<String> = self.rows.iter().map(|row| line(row, &widths)).collect();
+        let lines: Vec<String> = self
+            .rows
+            .iter()
+            .map(|row| format_row(row, &widths))
+            .collect();
         lines.concat()
     }
 }
 
-fn line(row: &[String], widths: &[usize]) -> String {
+fn format_row(row: &[String], widths: &[usize]) -> String {
     let cells: Vec<String> = row
         .iter()
         .zip(widths)
         .map(|(cell, width)| format!("{cell:<width$}"))
         .collect();
-    format!("{}\n", cells.join(GAP).trim_end())
+    format!("{}\n", cells.join(COLUMN_GAP).trim_end())
 }
