--- a/crates/standins/src/engine/options.rs
+++ b/crates/standins/src/engine/options.rs
@@ -5,45 +5,45 @@
     whinlatch_wire::record::ServedModel,
 };
 
-/// How an engine starts and how fast it is.
+/// Settings of an engine: address, models, capacity and speed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineOptions {
-    /// Where to listen.
+    /// Address to listen on; a free loopback port by default.
     pub listen: SocketAddr,
-    /// Models, adapters and versions loaded at the start.
+    /// Models, adapters and versions loaded at startup.
     pub models: Vec<ServedModel>,
-    /// Requests that run at once.
+    /// Maximum number of running requests.
     pub slots: usize,
-    /// Requests that wait at most; more are refused.
+    /// Maximum number of waiting requests; further ones are refused.
     pub queue: usize,
-    /// Tokens of memory.
+    /// KV memory, in tokens.
     pub memory_tokens: u64,
-    /// Prompt tokens read a second, attention aside.
+    /// Prefill speed in prompt tokens per second, without the cost of attention.
     pub prefill_tokens_per_s: f64,
-    /// Cost of attention for each million pairs of tokens.
+    /// Cost of attention per million pairs of tokens, in ms.
     pub attention_ms_per_million_pairs: f64,
-    /// Most prompt tokens read in one step, beside which the decode steps wait.
+    /// Maximum number of prompt tokens prefilled in one step, which delays the decoding requests.
     pub chunk_tokens: u64,
-    /// Answer tokens a second for each running request, prefill aside.
+    /// Decode speed in answer tokens per second and running request, without prefill.
     pub decode_tokens_per_s: f64,
-    /// Longest answer in tokens, also where a request allows more.
+    /// Maximum length of an answer in tokens, even if a request allows more.
     pub answer_tokens: u32,
-    /// Lets computing time run this many times faster. Deadlines and lags aren't scaled.
+    /// Factor by which computing is faster. Deadlines and lags aren't scaled.
     pub tokens_scale: f64,
-    /// How late load reports are.
+    /// Delay of load reports, in ms.
     pub report_lag_ms: u64,
-    /// How late cache events are.
+    /// Delay of cache events, in ms.
     pub event_lag_ms: u64,
-    /// Each cache event whose number divides by this is lost; none if 0.
+    /// Drops each cache event whose sequence number is a multiple of this; none if 0.
     pub event_gap_every: u64,
     /// Whether orders with an old fencing number are refused.
     pub enforces_fencing: bool,
-    /// Whether attempts and reservations are dropped when their time is over.
+    /// Whether attempts and reservations are dropped when they expire.
     pub enforces_deadlines: bool,
-    /// Time to load one model, adapter or version from the weight store.
+    /// Time to load one model, adapter or version from the weight store, in ms.
     pub load_ms: u64,
-    /// Tokens of KV cache fetched a second from another engine.
+    /// Speed at which KV cache is fetched from another engine, in tokens per second.
     pub kv_tokens_per_s: f64,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl EngineOptions {
-    /// Time to fetch so many tokens of KV cache.
+    /// Returns the time to fetch this many tokens of KV cache.
     pub(super) fn fetch_time(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 / self.kv_tokens_per_s / self.tokens_scale)
     }
--- a/crates/standins/src/engine/orders.rs
+++ b/crates/standins/src/engine/orders.rs
@@ -8,7 +8,7 @@
 
 impl FakeEngine {
     pub fn serves(&self, request: &GenerateRequest) -> bool {
-        self.engine.models.iter().any(|loaded| {
+        self.order_state.models.iter().any(|loaded| {
             loaded.model == request.model
                 && loaded.adapter == request.adapter
                 && request
@@ -17,9 +17,9 @@
         })
     }
 
-    /// Begins an order; gives the time that it takes.
-    fn begin_order(&mut self, order: &Order) -> Result<Duration, OrderVerdict> {
-        let engine = &mut self.engine;
+    /// Starts an order. Returns the time that loading takes, or why the order isn't started.
+    fn start_order(&mut self, order: &Order) -> Result<Duration, OrderVerdict> {
+        let engine = &mut self.order_state;
         if order.expect_incarnation != self.common.incarnation {
             return Err(OrderVerdict::OtherIncarnation);
         }
@@ -47,30 +47,31 @@
 
     fn finish_order(&mut self, order: Order) {
         if order.expect_incarnation == self.common.incarnation {
-            self.engine.models = order.models;
-            self.engine.mode = order.mode;
-            self.engine.busy = false;
+            self.order_state.models = order.models;
+            self.order_state.mode = order.mode;
+            self.order_state.busy = false;
         }
     }
 }
 
-/// Takes an order, which may be under way for a while and isn't lost with its sender.
-pub async fn take_order(server: &Arc<Server<FakeEngine>>, order: Order) -> OrderAnswer {
+/// Handles an order, in a task of its own: it may be delayed by a fault and takes effect even if the sender
+/// disconnects.
+pub async fn handle_order(server: &Arc<Server<FakeEngine>>, order: Order) -> OrderAnswer {
     let server = Arc::clone(server);
-    let taken = task::spawn(async move {
+    let started_order = task::spawn(async move {
         let delay = Duration::from_millis(server.state().common.faults.order_delay_ms);
         task::sleep(delay).await;
-        server.freeze.pass().await;
-        let begun = server.state().begin_order(&order);
-        begun.map(|load_time| drop(task::spawn(load(server, order, load_time))))
+        server.freeze.wait_while_frozen().await;
+        let started = server.state().start_order(&order);
+        started.map(|load_time| drop(task::spawn(load(server, order, load_time))))
     });
     OrderAnswer {
-        verdict: taken.await.err().unwrap_or(OrderVerdict::Begun),
+        verdict: started_order.await.err().unwrap_or(OrderVerdict::Begun),
     }
 }
 
 async fn load(server: Arc<Server<FakeEngine>>, order: Order, load_time: Duration) {
     task::sleep(load_time).await;
-    server.freeze.pass().await;
+    server.freeze.wait_while_frozen().await;
     server.state().finish_order(order);
 }
--- a/crates/standins/src/engine/report.rs
+++ b/crates/standins/src/engine/report.rs
@@ -1,19 +1,19 @@
 use {
-    super::{state::FakeEngine, work::Work},
+    super::{state::FakeEngine, work::EngineRequest},
     std::time::{Duration, Instant},
     whinlatch_wire::target::{Holding, LoadReport},
 };
 
 impl FakeEngine {
-    /// Takes a report for later readers, a few in the time of the lag.
-    pub fn take_report(&mut self, now: Instant) {
+    /// Records a report for later readers, four per lag.
+    pub fn record_report(&mut self, now: Instant) {
         let lag = Duration::from_millis(self.options.report_lag_ms);
         if self
             .reports
             .back()
             .is_none_or(|(at, _report)| *at + lag / 4 <= now)
         {
-            let report = self.present_report(now);
+            let report = self.current_report(now);
             self.reports.push_back((now, report));
         }
         while self
@@ -25,23 +25,23 @@
         }
     }
 
-    /// The report that readers get now: the newest that is old enough, else the oldest.
+    /// Returns the report that readers see now: the newest that is at least as old as the lag, else the oldest.
     pub fn report(&mut self, now: Instant) -> LoadReport {
-        self.prune(now);
-        self.take_report(now);
+        self.drop_expired(now);
+        self.record_report(now);
         match self.reports.front() {
             Some((_at, report)) if self.options.report_lag_ms > 0 => report.clone(),
-            _ => self.present_report(now),
+            _ => self.current_report(now),
         }
     }
 
-    fn present_report(&self, now: Instant) -> LoadReport {
+    fn current_report(&self, now: Instant) -> LoadReport {
         LoadReport {
             incarnation: self.common.incarnation,
             leaving: self.common.faults.leaving,
             running: self.running.len() as u32,
             waiting: self.waiting.len() as u32,
-            prefill_tokens_left: self.work().map(Work::prefill_left).sum(),
+            prefill_tokens_left: self.requests().map(EngineRequest::prefill_left).sum(),
             memory_used_tokens: self.used_tokens(),
             memory_total_tokens: self.options.memory_tokens,
             holdings: self.holdings(now),
@@ -49,21 +49,24 @@
     }
 
     fn holdings(&self, now: Instant) -> Vec<Holding> {
-        let overdue_ms = |until| now.saturating_duration_since(until).as_millis() as u64;
-        let running = self.running.iter().map(|work| Holding {
-            attempt: work.request.attempt,
-            owner: work.request.owner,
-            tokens: work.holds_tokens,
-            overdue_ms: overdue_ms(work.until),
+        let overdue_ms = |expires_at| now.saturating_duration_since(expires_at).as_millis() as u64;
+        let running = self.running.iter().map(|request| Holding {
+            attempt: request.params.attempt,
+            owner: request.params.owner,
+            tokens: request.own_memory_tokens,
+            overdue_ms: overdue_ms(request.expires_at),
             reservation: false,
         });
-        let reserved = self.reservations.values().map(|(until, held)| Holding {
-            attempt: held.reservation,
-            owner: held.owner,
-            tokens: held.tokens,
-            overdue_ms: overdue_ms(*until),
-            reservation: true,
-        });
+        let reserved = self
+            .reservations
+            .values()
+            .map(|(expires_at, reservation)| Holding {
+                attempt: reservation.reservation,
+                owner: reservation.owner,
+                tokens: reservation.tokens,
+                overdue_ms: overdue_ms(*expires_at),
+                reservation: true,
+            });
         running.chain(reserved).collect()
     }
 }
--- a/crates/standins/src/engine/work.rs
+++ b/crates/standins/src/engine/work.rs
@@ -10,79 +10,79 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Pairs of tokens that the cost of attention is stated for.
+/// Number of token pairs to which `attention_ms_per_million_pairs` refers.
 const MILLION: f64 = 1e6;
 
-/// What a caller hears of its request.
+/// Event of a request, as its caller receives it.
 #[derive(Debug)]
-pub enum Event {
-    /// It was not run and never will be.
+pub enum RequestEvent {
+    /// The request was refused: it was not run and never will be.
     Refused(RefusalReason),
-    /// It runs from now on.
-    Begun(AnswerFault),
-    /// A piece of the answer.
+    /// The request has started to run; carries the fault of its answer.
+    Started(AnswerFault),
+    /// A chunk of the answer.
     Chunk(StreamChunk),
 }
 
-/// A request that waits or runs.
+/// Waiting or running request.
 #[derive(Debug)]
-pub struct Work {
-    /// Tells requests apart, also those that name the same attempt.
+pub struct EngineRequest {
+    /// Serial number, unique even among requests of the same attempt.
     pub serial: u64,
-    pub request: GenerateRequest,
-    pub until: Instant,
-    pub events: Sender<Event>,
-    /// Prompt tokens read.
+    pub params: GenerateRequest,
+    pub expires_at: Instant,
+    pub events: Sender<RequestEvent>,
+    /// Prompt tokens prefilled or found in the cache.
     pub prefilled: u64,
-    /// Memory of its own; a request with a reservation has none.
-    pub holds_tokens: u64,
+    /// Tokens of memory that the request uses besides a reservation; 0 if it has one.
+    pub own_memory_tokens: u64,
     pub next_chunk: u64,
-    /// Chunks of the whole answer.
+    /// Number of chunks in the complete answer.
     pub chunks: u64,
-    /// What the answer follows from.
+    /// Seed from which the words of the answer are derived.
     pub seed: u64,
 }
 
-impl Work {
-    pub fn order(&self) -> (u8, u64) {
-        (self.request.priority, self.serial)
+impl EngineRequest {
+    pub fn queue_key(&self) -> (u8, u64) {
+        (self.params.priority, self.serial)
     }
 
     pub fn prefill_left(&self) -> u64 {
-        self.request.prompt_tokens - self.prefilled
+        self.params.prompt_tokens - self.prefilled
     }
 
-    /// Time to read the next tokens of the prompt on all engines of its group.
+    /// Returns the time to prefill the next tokens of the prompt, split over all engines of the group.
     pub fn prefill_cost(&self, tokens: u64, options: &EngineOptions) -> Duration {
         let (tokens, before) = (tokens as f64, self.prefilled as f64);
         let pairs = tokens * (before + tokens / 2.0);
         let attention_s = pairs / MILLION * options.attention_ms_per_million_pairs / 1_000.0;
-        let group = 1 + self.request.group.len();
+        let group = 1 + self.params.group.len();
         let cost_s = tokens / options.prefill_tokens_per_s + attention_s;
         Duration::from_secs_f64(cost_s / group as f64)
     }
 
-    /// Adds one token to the answer.
+    /// Appends one token to the answer and sends it to the caller.
     pub fn decode_token(&mut self) {
         let chunk = StreamChunk {
-            attempt: self.request.attempt,
+            attempt: self.params.attempt,
             sequence: self.next_chunk,
             text: word(self.seed, self.next_chunk),
             tokens: 1,
             end: self.next_chunk + 1 >= self.chunks,
         };
         self.next_chunk += 1;
-        // A caller that is gone is noticed at the next step.
-        let _gone = self.events.try_send(Event::Chunk(chunk));
+        // A disconnected caller is detected at the next step.
+        let _gone = self.events.try_send(RequestEvent::Chunk(chunk));
     }
 
     pub fn refuse(&self, reason: RefusalReason) {
-        let _gone = self.events.try_send(Event::Refused(reason));
+        let _gone = self.events.try_send(RequestEvent::Refused(reason));
     }
 }
 
-/// The text of one chunk of an answer: one token. All engines give the same, so that a resumed
-/// answer joins.
+/// Returns the text of one chunk of an answer, which is one token. It is the same on all engines, so that a resumed
+/// answer continues the first one.
 pub fn answer_word(model: &ModelName, prompt: &str, sequence: u64) -> String {
     word(answer_seed(model, prompt), sequence)
 }
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,6 +1,6 @@
-//! Starts one of the fakes and keeps it until the process is ended.
+//! Runs one of the fakes until the process is terminated.
 //!
-//! The first line on standard output is `listening ADDRESS`, so that a parent can read the port.
+//! The first line on standard output is `listening ADDRESS`, from which the parent process reads the port.
 
 use {
     bpaf::Bpaf,
@@ -10,30 +10,30 @@
     whinlatch_standins::{Engine, PlainService, Platform, Relay},
 };
 
-/// Small fakes at the interfaces of whinlatch, for tests and the demo.
+/// Fakes of the systems that whinlatch talks to, for tests and the demo.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// The platform: records and the list of instances.
+    /// Runs a platform: records and the list of instances.
     #[bpaf(command)]
     Platform(#[bpaf(external(settings))] Settings),
-    /// A model engine.
+    /// Runs a model engine.
     #[bpaf(command)]
     Engine(#[bpaf(external(settings))] Settings),
-    /// A plain service.
+    /// Runs a plain service.
     #[bpaf(command)]
     Service(#[bpaf(external(settings))] Settings),
-    /// A TCP relay; its second line is `control ADDRESS`.
+    /// Runs a TCP relay; the second line that it prints is `control ADDRESS`.
     #[bpaf(command)]
     Relay(#[bpaf(external(settings))] Settings),
 }
 
 #[derive(Debug, Clone, Bpaf)]
 struct Settings {
-    /// Where to listen; a free port of 127.0.0.1 unless told otherwise
+    /// Address to listen on; default: a free port of 127.0.0.1
     #[bpaf(argument("ADDRESS"))]
     listen: Option<SocketAddr>,
-    /// The options of the fake as a JSON object, such as {"slots":4}
+    /// Options of the fake as a JSON object, such as {"slots":4}
     #[bpaf(argument("JSON"), fallback("{}".to_owned()))]
     options: String,
 }
@@ -52,7 +52,7 @@
 enum StartError {
     #[error("--options: {0}")]
     Options(#[from] serde_json::Error),
-    #[error("can't listen: {0}: choose another address with --listen")]
+    #[error("can't listen ({0}): choose another address with --listen")]
     Listen(#[from] io::Error),
 }
 
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,14 +1,14 @@
-//! The platform: a configuration service that can only be read, and a lagging list of instances.
+//! Fake platform: a read-only configuration service and a delayed list of instances.
 //!
-//! `POST /standin/control` takes a [`PlatformControl`] and answers with a [`Published`]; besides
-//! there are `/standin/die`, `/standin/silence` and `/standin/stats`, as with all fakes.
+//! Control: `POST /standin/control` takes a [`PlatformControl`] and answers with a [`ControlResponse`];
+//! `/standin/die`, `/standin/silence` and `/standin/stats` work as with all fakes.
 
 mod options;
 mod routes;
 mod state;
 mod view;
 
-pub use options::{PlatformControl, PlatformMode, PlatformOptions, PlatformStats, Published};
+pub use options::{ControlResponse, PlatformControl, PlatformMode, PlatformOptions, PlatformStats};
 use {
     crate::standin::Standin,
     state::FakePlatform,
@@ -19,19 +19,19 @@
     },
 };
 
-/// A running platform; stops when dropped.
+/// Running platform, which stops when it is dropped.
 pub type Platform = Standin<FakePlatform>;
 
 impl Platform {
-    /// Listens and answers from now on.
+    /// Binds the listen address and starts to answer requests.
     ///
     /// # Errors
-    /// The address can't be listened on.
+    /// The listen address can't be bound.
     pub async fn start(options: PlatformOptions) -> io::Result<Self> {
         Self::listen(options.listen, FakePlatform::new(&options)).await
     }
 
-    /// Publishes a value of up to 1 MB, or deletes the record where there is none.
+    /// Publishes a record with a value of up to 1 MB, or deletes it if there is no value. Returns the new revision.
     pub fn publish(&self, key: &str, value: Option<&str>) -> Revision {
         let value = value.map(str::to_owned);
         self.control(PlatformControl::Publish {
@@ -40,20 +40,20 @@
         })
     }
 
-    /// Sets the list of instances; readers see it after the lag.
+    /// Sets the list of instances, which readers see after the lag.
     pub fn set_instances(&self, list: InstanceList) {
         self.control(PlatformControl::Instances(list));
     }
 
-    /// Sets how the platform behaves towards its readers.
+    /// Sets how the platform answers its readers.
     pub fn set_mode(&self, mode: PlatformMode) {
         self.control(PlatformControl::Mode(mode));
     }
 
-    /// Changes what is published or shown; gives the revision afterwards.
+    /// Applies a control message. Returns the revision after it.
     ///
     /// # Panics
-    /// The value of a record is over the largest that the platform takes.
+    /// The value of a record exceeds the maximum size.
     pub fn control(&self, control: PlatformControl) -> Revision {
         assert!(
             !control.is_too_large(),
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -1,6 +1,6 @@
 use {
-    super::{PlatformControl, PlatformMode, PlatformOptions, PlatformStats, view::View},
-    crate::target::Common,
+    super::{PlatformControl, PlatformMode, PlatformOptions, PlatformStats, view::RecordsView},
+    crate::target::CommonState,
     std::{
         collections::VecDeque,
         sync::Arc,
@@ -9,20 +9,25 @@
     whinlatch_wire::{ids::Revision, platform::InstanceList, record::RecordEnvelope},
 };
 
+/// Window in which reads are counted against `reads_per_s`.
 const READ_WINDOW: Duration = Duration::from_secs(1);
 
-/// What is published and what readers are shown of it.
+/// State of a fake platform.
 #[derive(Debug)]
 pub struct FakePlatform {
-    pub(super) common: Common,
+    pub(super) common: CommonState,
     pub(super) mode: PlatformMode,
-    pub(super) counted: PlatformStats,
-    view: View,
-    stale: Option<View>,
+    pub(super) stats: PlatformStats,
+    /// Current records.
+    view: RecordsView,
+    /// Records that readers are served instead, in one of the stale modes.
+    stale_view: Option<RecordsView>,
+    /// All changes of records, to rebuild an earlier revision.
     log: Vec<RecordEnvelope>,
-    lag: Duration,
-    lists: u64,
-    /// The list that is shown, then those that are still to be, in the order of their versions.
+    instance_lag: Duration,
+    /// Version of the last list of instances that was set.
+    list_version: u64,
+    /// The visible list, followed by those that become visible at the time beside them, in order of versions.
     instances: VecDeque<(Instant, InstanceList)>,
     recent_reads: VecDeque<Instant>,
     reads_per_s: usize,
@@ -31,14 +36,14 @@
 impl FakePlatform {
     pub(super) fn new(options: &PlatformOptions) -> Self {
         Self {
-            common: Common::default(),
+            common: CommonState::default(),
             mode: PlatformMode::Normal,
-            counted: PlatformStats::default(),
-            view: View::default(),
-            stale: None,
+            stats: PlatformStats::default(),
+            view: RecordsView::default(),
+            stale_view: None,
             log: Vec::new(),
-            lag: Duration::from_millis(options.instance_lag_ms),
-            lists: 0,
+            instance_lag: Duration::from_millis(options.instance_lag_ms),
+            list_version: 0,
             instances: VecDeque::from([(Instant::now(), InstanceList::default())]),
             recent_reads: VecDeque::new(),
             reads_per_s: options.reads_per_s,
@@ -58,14 +63,16 @@
                 self.log.push(record);
             }
             PlatformControl::Instances(list) => {
-                self.lists += 1;
+                self.list_version += 1;
                 let list = InstanceList {
-                    version: self.lists,
+                    version: self.list_version,
                     ..list
                 };
-                self.instances.push_back((now + self.lag, list));
+                self.instances.push_back((now + self.instance_lag, list));
+            }
+            PlatformControl::InstanceLagMs(lag_ms) => {
+                self.instance_lag = Duration::from_millis(lag_ms);
             }
-            PlatformControl::InstanceLagMs(lag_ms) => self.lag = Duration::from_millis(lag_ms),
             PlatformControl::Mode(mode) => self.set_mode(mode),
             PlatformControl::ForgetHistory { drop_tombstones } => {
                 self.view.forget_history(drop_tombstones);
@@ -76,10 +83,10 @@
 
     fn set_mode(&mut self, mode: PlatformMode) {
         self.mode = mode;
-        self.stale = match mode {
+        self.stale_view = match mode {
             PlatformMode::Stale => Some(self.view.clone()),
             PlatformMode::StaleAsOf(revision) => {
-                let mut view = View::default();
+                let mut view = RecordsView::default();
                 let then = self.log.iter().filter(|record| record.revision <= revision);
                 then.for_each(|record| view.put(record));
                 Some(view)
@@ -88,19 +95,22 @@
         };
     }
 
-    /// The records as readers see them now.
-    pub(super) fn shown_view(&self) -> &View {
-        self.stale.as_ref().unwrap_or(&self.view)
+    /// Returns the records that readers see now.
+    pub(super) fn visible_records(&self) -> &RecordsView {
+        self.stale_view.as_ref().unwrap_or(&self.view)
     }
 
-    /// The list of instances as readers see it now.
-    pub(super) fn shown_instances(&mut self, now: Instant) -> &InstanceList {
-        let due = self.instances.iter().rposition(|(due, _list)| *due <= now);
-        self.instances.drain(..due.unwrap_or(0));
+    /// Returns the list of instances that readers see now.
+    pub(super) fn visible_instances(&mut self, now: Instant) -> &InstanceList {
+        let newest = self
+            .instances
+            .iter()
+            .rposition(|(visible_at, _list)| *visible_at <= now);
+        self.instances.drain(..newest.unwrap_or(0));
         &self.instances[0].1
     }
 
-    /// Tells whether a read is within the budget. A watch that waits counts as one.
+    /// Counts a read and returns true if it is within `reads_per_s`. A watch counts as one read however long it waits.
     pub(super) fn allow_read(&mut self, now: Instant) -> bool {
         while self
             .recent_reads
@@ -108,19 +118,19 @@
             .is_some()
         {}
         if self.recent_reads.len() >= self.reads_per_s {
-            self.counted.refused += 1;
+            self.stats.refused += 1;
             return false;
         }
         self.recent_reads.push_back(now);
-        let most = self.counted.most_reads_in_1_s.max(self.recent_reads.len());
-        self.counted.most_reads_in_1_s = most;
+        let max_reads = self.stats.most_reads_in_1_s.max(self.recent_reads.len());
+        self.stats.most_reads_in_1_s = max_reads;
         true
     }
 
-    pub(super) fn present_stats(&self) -> PlatformStats {
+    pub(super) fn current_stats(&self) -> PlatformStats {
         PlatformStats {
             revision: self.view.revision,
-            ..self.counted
+            ..self.stats
         }
     }
 }
--- a/crates/standins/tests/standins/main.rs
+++ b/crates/standins/tests/standins/main.rs
@@ -1,4 +1,4 @@
-//! The fakes behave as they say.
+//! Tests that the fakes behave as documented.
 
 mod engine;
 mod platform;
