--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -65,7 +65,7 @@
                 let _timed_out = timeout(POLL_INTERVAL, changed.wait()).await;
                 step_end = Instant::now();
             }
-            Step::Crash(die) => server.die(die).await,
+            Step::Crash(options) => server.crash(options).await,
             Step::Run(plan) => {
                 step_end = step_end.max(now.checked_sub(MAX_CATCH_UP).unwrap_or(now)) + plan.cost;
                 while server.state().is_still_needed(Instant::now(), &plan) {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -19,5 +19,5 @@
     relay::{Relay, RelayOptions},
     service::{PlainService, ServiceOptions},
     standin::Standin,
-    target::{AnswerFault, Die, Faults, TargetStats},
+    target::{AnswerFault, CrashOptions, Faults, TargetStats},
 };
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -130,7 +130,7 @@
     if server.state().common.has_crash_marker(&call.body) {
         // The crash drops this call too, so it is carried out by another task.
         let server = Arc::clone(server);
-        task::spawn(async move { server.die(faults.crash).await });
+        task::spawn(async move { server.crash(faults.crash).await });
         return Err(HandlerError::CloseConnection);
     }
     let attempt = match answer {
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -9,10 +9,10 @@
     },
 };
 
-/// Simulates the death of a process: drops all connections and refuses new ones.
+/// Options of a crash, which drops all connections and refuses new ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Die {
+pub struct CrashOptions {
     /// Time until a new incarnation starts on the same address, in ms; never if absent.
     pub back_after_ms: Option<u64>,
 }
@@ -32,8 +32,8 @@
     /// Text that crashes the target if a prompt or call contains it: an engine when the prompt starts, a service
     /// after the call has run.
     pub crash_marker: Option<String>,
-    /// Options of such a crash.
-    pub crash: Die,
+    /// What follows such a crash.
+    pub crash: CrashOptions,
     /// Delay of orders in ms; they take effect even if the sender has disconnected.
     pub order_delay_ms: u64,
     /// Fault of answers that start from now on.
