--- a/crates/cli/src/ask.rs
+++ b/crates/cli/src/ask.rs
@@ -1,4 +1,5 @@
-//! The `ask` command: sends prompts and service calls, and fails over to another entry when one can't take them.
+//! The `ask` command: sends prompts and service calls, and fails over to another entry when one can't take
+//! them.
 
 mod answer;
 mod attempt;
--- a/crates/cli/src/ask/batch.rs
+++ b/crates/cli/src/ask/batch.rs
@@ -12,8 +12,8 @@
     whinlatch_wire::caller::OutcomeKind,
 };
 
-/// Sends the request `count` times, up to `concurrency` at the same time. Prints each answer as it completes and
-/// the totals last: on standard error if the answers are JSON, else on standard output.
+/// Sends the request `count` times, up to `concurrency` at the same time. Prints each answer as it
+/// completes and the totals last: on standard error if the answers are JSON, else on standard output.
 pub(super) async fn send_batch(
     client: &AskClient,
     request: &AskRequest,
--- a/crates/cli/src/ask/client.rs
+++ b/crates/cli/src/ask/client.rs
@@ -19,7 +19,8 @@
     whinlatch_wire::{caller::OutcomeKind, ids::Ticket},
 };
 
-/// Time after the deadline for which the tool still waits, since the entry itself reports the missed deadline.
+/// Time after the deadline for which the tool still waits, since the entry itself reports the missed
+/// deadline.
 const DEADLINE_GRACE: Duration = Duration::from_secs(2);
 
 /// Sends requests to the entries of a list, one after another until one reports a final outcome.
@@ -146,8 +147,9 @@
             .saturating_sub(self.started_at.elapsed())
     }
 
-    /// Returns the outcome that holds for all attempts together. `not_run` from an entry covers only what that
-    /// entry received: if an earlier attempt broke off, that one may have run, and the outcome is `unknown`.
+    /// Returns the outcome that holds for all attempts together. `not_run` from an entry covers only what
+    /// that entry received: if an earlier attempt broke off, that one may have run, and the outcome is
+    /// `unknown`.
     fn into_end(self) -> (Option<SocketAddr>, RequestEnd) {
         match (self.end, self.broken) {
             (Some((entry, end)), None) => (Some(entry), end),
--- a/crates/cli/src/entries.rs
+++ b/crates/cli/src/entries.rs
@@ -1,5 +1,5 @@
-//! Entries to send requests to: looked up at an entry, cached for the lifetime of the list, and looked up again
-//! after one of them fails.
+//! Entries to send requests to: looked up at an entry, cached for the lifetime of the list, and looked up
+//! again after one of them fails.
 
 use {
     crate::http::get,
@@ -38,8 +38,9 @@
         &self.configured
     }
 
-    /// Returns the entries to use, best first: those of the cached lookup until it expires, then those of a new
-    /// one. If no entry answers the lookup, returns the configured entries followed by those of the last lookup.
+    /// Returns the entries to use, best first: those of the cached lookup until it expires, then those of a
+    /// new one. If no entry answers the lookup, returns the configured entries followed by those of the
+    /// last lookup.
     pub async fn candidates(&self) -> Vec<SocketAddr> {
         let mut cached = self.cached.lock().await;
         if let Some(CachedLookup {
--- a/crates/cli/src/http/sse/tests.rs
+++ b/crates/cli/src/http/sse/tests.rs
@@ -36,8 +36,8 @@
     assert_eq!(read_all("event: outcome\n\ndata: a\n\n"), [event("", "a")]);
 }
 
-/// A daemon that dies while it writes leaves an incomplete event. If it were returned, truncated text would be
-/// printed, or a truncated outcome reported.
+/// A daemon that dies while it writes leaves an incomplete event. If it were returned, truncated text would
+/// be printed, or a truncated outcome reported.
 #[test]
 fn an_event_that_the_stream_ends_in_is_dropped() {
     assert_eq!(read_all("data: a\n\ndata: b"), [event("", "a")]);
--- a/crates/cli/src/reports/logged_request.rs
+++ b/crates/cli/src/reports/logged_request.rs
@@ -1,7 +1,7 @@
 use {serde_json::Value, std::collections::HashMap};
 
-/// A caller's request as the log lines show it. A caller that is refused may submit the same request again under
-/// a new id: all its submissions are merged into one.
+/// A caller's request as the log lines show it. A caller that is refused may submit the same request again
+/// under a new id: all its submissions are merged into one.
 #[derive(Debug, Default)]
 pub(super) struct LoggedRequest {
     /// Route of the request; `None` if no line names it.
@@ -38,8 +38,9 @@
 }
 
 impl LoggedRequest {
-    /// Returns the requests that log lines mention. A submission that follows a refusal of the same request isn't
-    /// counted as another request: for its caller, the time since the first submission decides if it is late.
+    /// Returns the requests that log lines mention. A submission that follows a refusal of the same request
+    /// isn't counted as another request: for its caller, the time since the first submission decides if it
+    /// is late.
     pub(super) fn from_lines(lines: &[Value]) -> Vec<Self> {
         let mut submissions: HashMap<&str, Self> = HashMap::new();
         for line in lines {
@@ -50,8 +51,8 @@
         merge_retries(submissions.into_values().collect())
     }
 
-    /// Returns when the caller first submitted the request, in ms as the log lines' `at_ms`; 0 if no line shows
-    /// the end of the request.
+    /// Returns when the caller first submitted the request, in ms as the log lines' `at_ms`; 0 if no line
+    /// shows the end of the request.
     pub(super) fn started_ms(&self) -> u64 {
         let last_ms = self.ended.as_ref().map_or(0, SubmissionEnd::started_ms);
         self.first_submission_ms.unwrap_or(last_ms)
--- a/crates/cli/tests/cli/ask.rs
+++ b/crates/cli/tests/cli/ask.rs
@@ -102,8 +102,8 @@
     assert_eq!(sent[1].body, "parcel 7");
 }
 
-/// The entry that issued the ticket starts to leave before the call arrives with it, so the call fails over to
-/// another entry. Sent without its ticket, it would get a new one there, and could run twice.
+/// The entry that issued the ticket starts to leave before the call arrives with it, so the call fails over
+/// to another entry. Sent without its ticket, it would get a new one there, and could run twice.
 #[test]
 fn a_call_keeps_its_ticket_at_the_next_entry() {
     let next = FakeEntry::start(&[], |_, _| label_answer());
@@ -129,9 +129,9 @@
     );
 }
 
-/// The entry that issued the ticket dies after it has received the call, which may have run. Another entry, which
-/// doesn't know the call, answers `not_run`. If the tool reported that, the caller would send the call as a new
-/// one, and it would run twice.
+/// The entry that issued the ticket dies after it has received the call, which may have run. Another entry,
+/// which doesn't know the call, answers `not_run`. If the tool reported that, the caller would send the
+/// call as a new one, and it would run twice.
 #[test]
 fn not_run_from_another_entry_does_not_cover_a_broken_attempt() {
     let other = FakeEntry::start(&[], |_, _| refusal(503, "fleet_full"));
@@ -220,8 +220,9 @@
     assert_eq!(answer["entry"], good.address.to_string());
 }
 
-/// An entry refuses a prompt that is too long after its head and doesn't read the body. A client that reads the
-/// answer only after it has sent the whole body blocks until the deadline, and the user never sees the reason.
+/// An entry refuses a prompt that is too long after its head and doesn't read the body. A client that reads
+/// the answer only after it has sent the whole body blocks until the deadline, and the user never sees the
+/// reason.
 #[test]
 fn an_early_refusal_of_a_long_body_is_read() {
     let entry = FakeEntry::start(&[], |_, _| refusal(413, "too_large"));
--- a/crates/cli/tests/cli/losses.rs
+++ b/crates/cli/tests/cli/losses.rs
@@ -57,8 +57,8 @@
     assert!(run.err.contains("not-there.log"));
 }
 
-/// Request `f1` is refused, submitted again half a second later, and its answer starts half a second after that: in
-/// time for the second submission, but late for the caller, who has waited since the first one.
+/// Request `f1` is refused, submitted again half a second later, and its answer starts half a second after
+/// that: in time for the second submission, but late for the caller, who has waited since the first one.
 const RESUBMITTED_LINES: &str = r#"
 {"at_ms":1010,"event":"refused","request":"a","route":"r-1","reason":"too busy","fingerprint":"f1"}
 {"at_ms":1010,"event":"ended","request":"a","outcome":"refused","status":503,"reason":"too busy","took_ms":10,"first_event_ms":null}
--- a/crates/cli/tests/cli/reports.rs
+++ b/crates/cli/tests/cli/reports.rs
@@ -77,8 +77,8 @@
     assert_eq!((run.code, &json["new_field"]), (0, &true.into()));
 }
 
-/// Only the daemon that admitted a request knows its decisions. If the operator names another entry, the entries
-/// from its lookup are queried too.
+/// Only the daemon that admitted a request knows its decisions. If the operator names another entry, the
+/// entries from its lookup are queried too.
 #[test]
 fn explain_queries_the_other_entries_too() {
     let admitting = reporting_entry();
--- a/crates/cli/tests/cli/support.rs
+++ b/crates/cli/tests/cli/support.rs
@@ -40,8 +40,8 @@
 }
 
 impl FakeEntry {
-    /// Starts an entry that answers requests with `answer`, which receives the number of earlier requests without
-    /// lookups. Lookups are answered with `listed`, or with this entry alone if that is empty.
+    /// Starts an entry that answers requests with `answer`, which receives the number of earlier requests
+    /// without lookups. Lookups are answered with `listed`, or with this entry alone if that is empty.
     pub fn start(
         listed: &[SocketAddr],
         answer: impl Fn(usize, &Received) -> Vec<u8> + Send + Sync + 'static,
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,5 +1,5 @@
-//! Fake model engine: continuous batching, chunked prefill mixed with decode steps, limited memory with a prefix
-//! cache, priorities, resume and cancel.
+//! Fake model engine: continuous batching, chunked prefill mixed with decode steps, limited memory with a
+//! prefix cache, priorities, resume and cancel.
 //!
 //! The engine simulates computing time in real time. Its answers are a pure function of model and prompt, see
 //! [`answer_word`]. Control: `/standin/faults`, `/standin/silence`, `/standin/die` and
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Starts waiting requests by priority, then order of arrival, until one doesn't fit. Returns the crash options
-    /// if a prompt with the crash marker starts.
+    /// Starts waiting requests by priority, then order of arrival, until one doesn't fit. Returns the crash
+    /// options if a prompt with the crash marker starts.
     fn start_waiting(&mut self, now: Instant) -> Option<CrashOptions> {
         self.waiting.sort_by_key(EngineRequest::queue_key);
         while self.running.len() < self.options.slots {
--- a/crates/standins/src/engine/group.rs
+++ b/crates/standins/src/engine/group.rs
@@ -13,8 +13,8 @@
 /// Time without an answer after which an engine of the group is considered gone.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Returns the sum of the tokens reserved on the other engines of the group; `None` if one of the reservations is
-/// missing.
+/// Returns the sum of the tokens reserved on the other engines of the group; `None` if one of the
+/// reservations is missing.
 pub async fn group_tokens(group: &[GroupMember]) -> Option<u64> {
     let mut total: u64 = 0;
     for member in group {
@@ -27,8 +27,8 @@
     Some(total)
 }
 
-/// Drops the request when an engine of its group is gone or has released the reservation, since the part of the
-/// prompt that it held is lost.
+/// Drops the request when an engine of its group is gone or has released the reservation, since the part of
+/// the prompt that it held is lost.
 pub async fn watch_group(
     engine: Weak<Server<FakeEngine>>,
     attempt: AttemptId,
--- a/crates/standins/src/engine/kv.rs
+++ b/crates/standins/src/engine/kv.rs
@@ -19,8 +19,8 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl FakeEngine {
-    /// Exports the blocks of a cached prefix for another engine. The memory of the export is held by a reservation
-    /// whose id is the handle.
+    /// Exports the blocks of a cached prefix for another engine. The memory of the export is held by a
+    /// reservation whose id is the handle.
     pub fn export(&mut self, now: Instant, export: &KvExport) -> HandlerResult {
         let Some(prefix_hashes) = self.cache.chain(export.prefix_hash) else {
             return status(StatusCode::NotFound);
--- a/crates/standins/src/engine/report.rs
+++ b/crates/standins/src/engine/report.rs
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Returns the report that readers see now: the newest that is at least as old as the lag, else the oldest.
+    /// Returns the report that readers see now: the newest that is at least as old as the lag, else the
+    /// oldest.
     pub fn report(&mut self, now: Instant) -> LoadReport {
         self.drop_expired(now);
         self.record_report(now);
--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -103,8 +103,8 @@
             .map(|(_expires_at, reservation)| reservation.tokens)
     }
 
-    /// Queues a request. `group_tokens` is the number of tokens that the other engines of its group have reserved
-    /// for it. Returns a receiver of its events, or why it is refused.
+    /// Queues a request. `group_tokens` is the number of tokens that the other engines of its group have
+    /// reserved for it. Returns a receiver of its events, or why it is refused.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -174,8 +174,8 @@
         Ok(())
     }
 
-    /// Drops expired requests and reservations and the requests of disconnected callers. A request doesn't outlive
-    /// the reservation that it uses, since its memory is given to others.
+    /// Drops expired requests and reservations and the requests of disconnected callers. A request doesn't
+    /// outlive the reservation that it uses, since its memory is given to others.
     pub fn drop_expired(&mut self, now: Instant) {
         if self.options.enforces_deadlines {
             self.reservations
@@ -222,7 +222,8 @@
         }
     }
 
-    /// Checks a request. Returns the tokens of memory that it needs besides a reservation, or why it is refused.
+    /// Checks a request. Returns the tokens of memory that it needs besides a reservation, or why it is
+    /// refused.
     fn admit(
         &self,
         request: &GenerateRequest,
--- a/crates/standins/src/engine/work.rs
+++ b/crates/standins/src/engine/work.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// Returns the text of one chunk of an answer, which is one token. It is the same on all engines, so that a resumed
-/// answer continues the first one.
+/// Returns the text of one chunk of an answer, which is one token. It is the same on all engines, so that a
+/// resumed answer continues the first one.
 pub fn answer_word(model: &ModelName, prompt: &str, sequence: u64) -> String {
     word(answer_seed(model, prompt), sequence)
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,9 @@
-//! Fakes of the systems that whinlatch talks to: the platform, a model engine, a plain service and a TCP relay
-//! between processes. They are used by tests and the demo only.
+//! Fakes of the systems that whinlatch talks to: the platform, a model engine, a plain service and a TCP
+//! relay between processes. They are used by tests and the demo only.
 //!
-//! Each fake runs in process, or as a subcommand of the program `whinlatch-standins`, and stops when it is dropped.
-//! Tests control and inspect it by its methods, or by HTTP under `/standin/` on the port of the fake itself.
+//! Each fake runs in process, or as a subcommand of the program `whinlatch-standins`, and stops when it is
+//! dropped. Tests control and inspect it by its methods, or by HTTP under `/standin/` on the port of the
+//! fake itself.
 
 pub mod engine;
 mod http;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -31,7 +31,8 @@
         Self::listen(options.listen, FakePlatform::new(&options)).await
     }
 
-    /// Publishes a record with a value of up to 1 MB, or deletes it if there is no value. Returns the new revision.
+    /// Publishes a record with a value of up to 1 MB, or deletes it if there is no value. Returns the new
+    /// revision.
     pub fn publish(&self, key: &str, value: Option<&str>) -> Revision {
         let value = value.map(str::to_owned);
         self.control(PlatformControl::Publish {
--- a/crates/standins/src/platform/options.rs
+++ b/crates/standins/src/platform/options.rs
@@ -65,7 +65,8 @@
     InstanceLagMs(u64),
     /// Sets how the platform answers its readers.
     Mode(PlatformMode),
-    /// Drops the history of the records: readers with an older revision get 410 and have to read all records again.
+    /// Drops the history of the records: readers with an older revision get 410 and have to read all
+    /// records again.
     ForgetHistory {
         /// Whether tombstones are dropped too, so that only the absence of a record shows its deletion.
         drop_tombstones: bool,
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -110,7 +110,8 @@
         &self.instances[0].1
     }
 
-    /// Counts a read and returns true if it is within `reads_per_s`. A watch counts as one read however long it waits.
+    /// Counts a read and returns true if it is within `reads_per_s`. A watch counts as one read however
+    /// long it waits.
     pub(super) fn allow_read(&mut self, now: Instant) -> bool {
         while self
             .recent_reads
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -189,7 +189,7 @@
         self.control.0.set_mode(mode);
     }
 
-    /// Silences the connections that are open now forever; new ones work.
+    /// Silences all open connections permanently; connections opened later work.
     pub fn silence_open(&self) {
         self.control.silence_open();
     }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,5 @@
-//! Fake plain service whose calls aren't idempotent. It counts the runs of each call, so that tests find doubled ones.
+//! Fake plain service whose calls aren't idempotent. It counts the runs of each call, so that tests find
+//! doubled ones.
 //!
 //! Control: `/standin/faults`, `/standin/silence`, `/standin/die` and `/standin/stats`, as with all
 //! fakes; the stats are [`TargetStats`].
@@ -35,7 +36,8 @@
 pub struct ServiceOptions {
     /// Address to listen on; a free loopback port by default.
     pub listen: SocketAddr,
-    /// Name of the service. Calls of other services are refused; if absent, calls of any service are accepted.
+    /// Name of the service. Calls of other services are refused; if absent, calls of any service are
+    /// accepted.
     pub service: Option<ServiceName>,
     /// Maximum number of running calls; further ones are refused.
     pub slots: u32,
@@ -150,7 +152,8 @@
 }
 
 impl FakeService {
-    /// Counts the call as run. Returns the faults of the service and of the answer, or why the call is refused.
+    /// Counts the call as run. Returns the faults of the service and of the answer, or why the call is
+    /// refused.
     fn start_call(&mut self, call: &ServiceCall) -> Result<(Faults, AnswerFault), RefusalReason> {
         let admitted = self.admit(call);
         if let Err(reason) = admitted {
--- a/crates/standins/src/signal.rs
+++ b/crates/standins/src/signal.rs
@@ -13,12 +13,14 @@
     },
 };
 
-/// Locks a mutex even if another thread panicked while it held it: a fake keeps working with the state it has.
+/// Locks a mutex even if another thread panicked while it held it: a fake keeps working with the state it
+/// has.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Returns the time `span_ms` later. Longer spans are cut to a day, since a huge one would overflow the clock.
+/// Returns the time `span_ms` later. Longer spans are cut to a day, since a huge one would overflow the
+/// clock.
 pub fn after_ms(now: Instant, span_ms: u64) -> Instant {
     const DAY_MS: u64 = 86_400_000;
     now + Duration::from_millis(span_ms.min(DAY_MS))
--- a/crates/standins/src/standin.rs
+++ b/crates/standins/src/standin.rs
@@ -53,7 +53,7 @@
     /// Clears state that a new incarnation doesn't have.
     fn restart(&mut self) {}
 
-    /// Silences connections other than those of its HTTP server forever.
+    /// Permanently silences connections other than those of its HTTP server.
     fn silence(&mut self) {}
 }
 
@@ -147,7 +147,7 @@
         self.0.set_faults(faults);
     }
 
-    /// Silences the connections that are open now forever; new ones work.
+    /// Silences all open connections permanently; connections opened later work.
     pub fn silence_open(&self) {
         self.0.silence_open();
     }
@@ -212,8 +212,8 @@
 
     fn spawn_listener(self: &Arc<Self>, listener: TcpListener) {
         let stopped = self.stop.waiter();
-        // Connections share the waiter of the listener: with a waiter of its own, one that is accepted while the
-        // fake dies could miss the signal and outlive it.
+        // Connections share the waiter of the listener: with a waiter of its own, one that is accepted
+        // while the fake dies could miss the signal and outlive it.
         let accept = Self::accept(Arc::downgrade(self), listener, stopped.clone());
         *lock(&self.accept_task) = Some(task::spawn(stopped.run_until_signal(accept)));
     }
@@ -258,7 +258,8 @@
                 future::pending::<()>().await;
             }
         };
-        // When the caller disconnects or the fake stops, the unfinished answer is dropped, and its request with it.
+        // When the caller disconnects or the fake stops, the unfinished answer is dropped, and its request
+        // with it.
         future::select(pin!(answering), pin!(disconnected)).await;
     }
 
@@ -279,7 +280,8 @@
                 })
                 .await;
             let mut response = into_response(answer)?;
-            // The connection of a control request outlives `crash` and must not carry further requests afterwards.
+            // The connection of a control request outlives `crash` and must not carry further requests
+            // afterwards.
             response.insert_header("connection", "close");
             return Ok(response);
         }
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -29,8 +29,8 @@
     pub leaving: bool,
     /// Factor by which computing is slower; 1 if absent.
     pub slow_factor: Option<f64>,
-    /// Text that crashes the target if a prompt or call contains it: an engine when the prompt starts, a service
-    /// after the call has run.
+    /// Text that crashes the target if a prompt or call contains it: an engine when the prompt starts, a
+    /// service after the call has run.
     pub crash_marker: Option<String>,
     /// What follows such a crash.
     pub crash: CrashOptions,
--- a/crates/standins/tests/standins/engine.rs
+++ b/crates/standins/tests/standins/engine.rs
@@ -222,7 +222,8 @@
     assert!(matches!(whole, PromptEnd::Complete(_)), "{whole:?}");
 }
 
-/// When an engine of a group dies, a part of the prompt is lost: the leading engine has to break off the answer.
+/// When an engine of a group dies, a part of the prompt is lost: the leading engine has to break off the
+/// answer.
 #[async_std::test]
 async fn a_request_ends_when_an_engine_of_its_group_dies() {
     let options = EngineOptions {
@@ -314,8 +315,8 @@
     assert_eq!(numbers, [1, 3], "the second event was dropped");
 }
 
-/// A delayed order that arrives after a newer one would load a model that operators withdrew. An engine that checks
-/// fencing numbers refuses it; one that doesn't loads the model.
+/// A delayed order that arrives after a newer one would load a model that operators withdrew. An engine
+/// that checks fencing numbers refuses it; one that doesn't loads the model.
 #[async_std::test]
 async fn an_old_order_is_refused_only_where_fencing_is_enforced() {
     let enforcing = start(fast_engine()).await;
@@ -348,8 +349,8 @@
     assert!(loads_version(&not_enforcing, 1).await);
 }
 
-/// An engine that a prompt crashed restarts as another incarnation with all memory free, and refuses requests for
-/// the previous one.
+/// An engine that a prompt crashed restarts as another incarnation with all memory free, and refuses
+/// requests for the previous one.
 #[async_std::test]
 async fn a_prompt_with_the_crash_marker_crashes_the_engine() {
     let engine = start(fast_engine()).await;
@@ -379,8 +380,8 @@
     assert_eq!(engine.stats().memory_used_tokens, 0);
 }
 
-/// Simulates a device on the way, such as a NAT gateway, that has lost the state of open connections: they carry
-/// nothing any more, while new ones work.
+/// Simulates a device on the way, such as a NAT gateway, that has lost the state of open connections: they
+/// carry nothing any more, while new ones work.
 #[async_std::test]
 async fn open_connections_go_silent_while_new_ones_work() {
     let engine = start(fast_engine()).await;
--- a/crates/standins/tests/standins/service.rs
+++ b/crates/standins/tests/standins/service.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// A caller that resends a call after its answer was lost makes it run twice. Tests detect that by the counter of the
-/// body.
+/// A caller that resends a call after its answer was lost makes it run twice. Tests detect that by the
+/// counter of the body.
 #[async_std::test]
 async fn the_statistics_show_a_call_that_ran_twice() {
     let service = PlainService::start(ServiceOptions::default())
--- a/crates/standins/tests/standins/support.rs
+++ b/crates/standins/tests/standins/support.rs
@@ -144,7 +144,8 @@
     async_std::task::spawn(work)
 }
 
-/// Yields to other tasks until a condition holds. There is no timeout: the test runner ends a test that hangs.
+/// Yields to other tasks until a condition holds. There is no timeout: the test runner ends a test that
+/// hangs.
 pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     while !condition() {
         async_std::task::yield_now().await;
