--- a/crates/daemon/tests/daemon/bad_input.rs
+++ b/crates/daemon/tests/daemon/bad_input.rs
@@ -168,7 +168,7 @@
     let mut request = label_call(&daemon, "parcel", None);
     request.insert_header("whinlatch-ticket", "7");
     let answer = ask(&daemon, request).await;
-    assert_refused(&answer, 400, Reason::BadRequest, "428 answer");
+    assert_refused(&answer, 400, Reason::BadRequest, "428 response");
 }
 
 #[async_std::test]
