--- a/crates/daemon/src/app.rs
+++ b/crates/daemon/src/app.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program, and as a value that tests start within their own process.
+//! The daemon as a program, and as a value that tests run in their own process.
 
 mod args;
 mod daemon;
--- a/crates/daemon/src/app/args.rs
+++ b/crates/daemon/src/app/args.rs
@@ -1,19 +1,19 @@
 use {bpaf::Bpaf, std::path::PathBuf, whinlatch_serving::mechanism::Mechanism};
 
-/// The whinlatch daemon: takes callers' requests and passes them on to targets.
+/// The whinlatch daemon: accepts callers' requests and forwards them to targets.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub struct Args {
     /// Where settings and records come from.
     #[bpaf(external)]
     pub source: Source,
-    /// Switch off a part of the decisions, to measure what it is worth; only with --platform
+    /// Disable a mechanism of the decisions, to measure its effect; only with --platform
     #[bpaf(argument("MECHANISM"), many)]
     pub without: Vec<Mechanism>,
-    /// Port of the counters, in place of the first one of the instance's own range; only with --platform
+    /// Port of the metrics, instead of the first one of the instance's port range; only with --platform
     #[bpaf(argument("PORT"), optional)]
     pub metrics_port: Option<u16>,
-    /// Check the settings and end
+    /// Check the settings and exit
     pub check: bool,
 }
 
--- a/crates/daemon/src/app/daemon.rs
+++ b/crates/daemon/src/app/daemon.rs
@@ -18,50 +18,50 @@
     whinlatch_wire::{conf::Settings, ids::Incarnation},
 };
 
-/// Messages that may wait for the control thread.
-const WAITING_MESSAGES: usize = 4_096;
+/// Messages queued for the control thread.
+const MESSAGE_QUEUE_LEN: usize = 4_096;
 
-/// What a daemon starts with.
+/// Start options of a daemon.
 #[derive(Debug)]
 pub struct DaemonOptions {
-    /// The settings; port 0 stands for any free one.
+    /// Checked settings; port 0 selects a free port.
     pub settings: Settings,
-    /// The clock.
+    /// Clock of all tasks.
     pub clock: Arc<dyn Clock>,
 }
 
-/// A running daemon. Dropped, it ends at once.
+/// A running daemon. Dropping it stops it immediately, without a drain.
 #[derive(Debug)]
 pub struct Daemon {
     shared: Arc<Shared>,
     stopped: Receiver<()>,
-    listening: Vec<Listening>,
+    listeners: Vec<ListenerTask>,
 }
 
-/// A listener's task; ends when dropped.
+/// The task of a listener; cancelled when dropped.
 #[derive(Debug)]
-struct Listening(Option<JoinHandle<()>>);
+struct ListenerTask(Option<JoinHandle<()>>);
 
-impl Drop for Listening {
+impl Drop for ListenerTask {
     fn drop(&mut self) {
         if let Some(task) = self.0.take() {
-            // Cancelling takes effect when the future is polled, which the executor does.
+            // Cancelling takes effect only when the future is polled, so it is spawned.
             task::spawn(task.cancel());
         }
     }
 }
 
 impl Daemon {
-    /// Listens, starts the control thread and takes requests from now on.
+    /// Starts listening and the control thread. Requests are accepted from then on.
     ///
     /// # Errors
-    /// An address is taken, or the system gives no thread.
+    /// [`DaemonError`] if an address can't be listened on or a thread can't be started.
     pub async fn start(options: DaemonOptions) -> Result<Self, DaemonError> {
         let mut settings = options.settings;
         let callers = listen(&mut settings.caller_address).await?;
         let peers = listen(&mut settings.peer_address).await?;
         let metrics = Arc::new(Metrics::new()?);
-        let (messages, inbox) = async_channel::bounded(WAITING_MESSAGES);
+        let (messages, inbox) = async_channel::bounded(MESSAGE_QUEUE_LEN);
         let shared = Arc::new(Shared {
             settings,
             incarnation: Incarnation(random_u128()),
@@ -71,7 +71,7 @@
             answers: AnswerStore::default(),
             open_requests: OpenRequests::new(Arc::clone(&metrics)),
         });
-        let (stopped, told) = async_channel::bounded(1);
+        let (stopped, stopped_receiver) = async_channel::bounded(1);
         ControlThread::spawn(ControlOptions {
             core: core_options(&shared),
             shared: Arc::clone(&shared),
@@ -79,41 +79,41 @@
             log: DecisionLog::start(metrics)?,
             stopped,
         })?;
-        let listening = vec![
-            Listening(Some(task::spawn(callers::serve(
+        let listeners = vec![
+            ListenerTask(Some(task::spawn(callers::serve(
                 Arc::clone(&shared),
                 callers,
             )))),
-            Listening(Some(task::spawn(peers::serve(Arc::clone(&shared), peers)))),
+            ListenerTask(Some(task::spawn(peers::serve(Arc::clone(&shared), peers)))),
         ];
         Ok(Self {
             shared,
-            stopped: told,
-            listening,
+            stopped: stopped_receiver,
+            listeners,
         })
     }
 
-    /// Address for callers.
+    /// Returns the address for callers, with the port that was bound.
     pub fn caller_address(&self) -> SocketAddr {
         self.shared.settings.caller_address
     }
 
-    /// Address for peers.
+    /// Returns the address for peers, with the port that was bound.
     pub fn peer_address(&self) -> SocketAddr {
         self.shared.settings.peer_address
     }
 
-    /// This run.
+    /// Returns the incarnation of this run.
     pub fn incarnation(&self) -> Incarnation {
         self.shared.incarnation
     }
 
-    /// What it counts.
+    /// Returns the daemon's metrics.
     pub fn metrics(&self) -> &Metrics {
         &self.shared.metrics
     }
 
-    /// Tells the daemon to leave: it finishes what is in flight and takes nothing new.
+    /// Tells the daemon to leave: it finishes requests in flight and accepts no new ones.
     pub async fn stop(&self) {
         self.shared
             .control
@@ -121,16 +121,17 @@
             .await;
     }
 
-    /// Waits until the daemon has no request in flight any more and is to end.
+    /// Waits until the daemon is leaving and has no request in flight.
     pub async fn stopped(&self) {
-        // The channel is closed, not used: its end is the word.
+        // Nothing is ever sent: the control thread closes the channel.
         let _closed = self.stopped.recv().await;
     }
 
-    /// Waits until a daemon that leaves has written its last answer.
+    /// Waits until a leaving daemon has no request in flight, stops listening, and waits until the
+    /// last answer is written.
     pub async fn wait_until_stopped(&mut self) {
         self.stopped().await;
-        self.listening.clear();
+        self.listeners.clear();
         self.shared.open_requests.wait_for_end().await;
     }
 }
--- a/crates/daemon/src/app/run.rs
+++ b/crates/daemon/src/app/run.rs
@@ -17,7 +17,7 @@
     std::{path::Path, process::ExitCode, sync::Arc},
 };
 
-/// Runs the program until it is told to stop.
+/// Runs the program until it is stopped by a signal or by the platform.
 pub fn run() -> ExitCode {
     match start(args().run()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -30,9 +30,11 @@
 
 fn start(args: Args) -> Result<(), DaemonError> {
     match args.source {
-        Source::File { .. } if !args.without.is_empty() => Err(DaemonError::Without),
-        Source::File { .. } if args.metrics_port.is_some() => Err(DaemonError::MetricsPort),
-        Source::File { settings } => start_by_records(&settings, args.check),
+        Source::File { .. } if !args.without.is_empty() => Err(DaemonError::WithoutNeedsPlatform),
+        Source::File { .. } if args.metrics_port.is_some() => {
+            Err(DaemonError::MetricsPortNeedsPlatform)
+        }
+        Source::File { settings } => start_from_file(&settings, args.check),
         Source::Platform => entry::run(&EntryOptions {
             check: args.check,
             without: args.without.into_iter().collect(),
@@ -41,10 +43,10 @@
     }
 }
 
-fn start_by_records(path: &Path, check: bool) -> Result<(), DaemonError> {
+fn start_from_file(path: &Path, check: bool) -> Result<(), DaemonError> {
     let settings = conf::load(path)?;
     if check {
-        println!("{}: the settings are good", path.display());
+        println!("{}: the settings are valid", path.display());
         return Ok(());
     }
     logs::set_up(&settings.log)?;
@@ -73,13 +75,13 @@
     daemon.stop().await;
     let ended = timeout(clock.as_ref(), shutdown_ms, daemon.wait_until_stopped()).await;
     if ended.is_none() {
-        log::warn!("app: the time for a graceful shutdown is over, requests in flight are cut off");
+        log::warn!("app: the graceful shutdown timed out, requests in flight are aborted");
     }
     Ok(())
 }
 
-/// The platform's list may say that this instance is leaving; that stops the daemon without a
-/// signal.
+/// Waits for a signal to stop, or until the daemon has stopped by itself: the platform's list of
+/// instances may mark this one as leaving.
 async fn wait_for_stop(daemon: &Daemon, signals: &Receiver<StopSignal>) {
     let signalled = stop_signal(signals);
     let stopped = daemon.stopped();
@@ -87,14 +89,16 @@
     select(signalled, stopped).await;
 }
 
-/// Ends with the signal to stop, or when no signal can come any more. The settings of this
-/// interface are read at the start only.
+/// Waits for the signal to stop, or until no more signals can arrive. A signal to reload has no
+/// effect, because the settings file is read at the start only.
 async fn stop_signal(signals: &Receiver<StopSignal>) {
     while let Ok(signal) = signals.recv().await {
         match signal {
             StopSignal::Stop => return,
             StopSignal::Reload => {
-                log::info!("app: the settings are read at the start only: restart the daemon");
+                log::info!(
+                    "app: settings are read at the start only: restart the daemon to reload"
+                );
             }
         }
     }
--- a/crates/daemon/src/app/signals.rs
+++ b/crates/daemon/src/app/signals.rs
@@ -8,34 +8,35 @@
     std::thread,
 };
 
-/// Signals that may wait.
-const WAITING_SIGNALS: usize = 8;
+/// Signals queued for the main task.
+const SIGNAL_QUEUE_LEN: usize = 8;
 
-/// What a signal asks for.
+/// The request that a signal of the process carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopSignal {
-    /// To stop: finish what is in flight.
+    /// Finish requests in flight and stop (`SIGTERM`, `SIGINT`).
     Stop,
-    /// To read the settings again.
+    /// Read the settings again (`SIGHUP`).
     Reload,
 }
 
-/// Tells of each signal.
+/// Installs the signal handlers and returns the channel on which signals arrive.
 ///
 /// # Errors
-/// The system doesn't let the process take signals, or gives no thread.
+/// [`DaemonError::Signals`] if the handlers can't be installed, [`DaemonError::Thread`] if the system
+/// can't start a thread.
 pub fn stop_signals() -> Result<Receiver<StopSignal>, DaemonError> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(DaemonError::Signals)?;
-    let (told, received) = async_channel::bounded(WAITING_SIGNALS);
+    let (signals_sender, received) = async_channel::bounded(SIGNAL_QUEUE_LEN);
     thread::Builder::new()
         .name("signals".to_owned())
         .spawn(move || {
             for signal in signals.forever() {
-                let asked = match signal {
+                let request = match signal {
                     SIGHUP => StopSignal::Reload,
                     _ => StopSignal::Stop,
                 };
-                if told.send_blocking(asked).is_err() {
+                if signals_sender.send_blocking(request).is_err() {
                     return;
                 }
             }
--- a/crates/daemon/src/callers.rs
+++ b/crates/daemon/src/callers.rs
@@ -1,4 +1,4 @@
-//! What callers and operators reach over HTTP/1.1.
+//! The HTTP/1.1 interface for callers and operators.
 
 mod answer;
 mod answer_store;
--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -15,40 +15,40 @@
 /// Milliseconds in a second.
 const MS_PER_S: u64 = 1_000;
 
-/// An answer to a caller.
+/// The answer to a caller's request, before it is encoded as an HTTP response.
 #[derive(Debug)]
 pub enum Answer {
     /// A stream of events that ends with the outcome.
     Stream {
-        /// The request.
+        /// Id of the request, sent in a header.
         request: RequestId,
         /// The events.
         events: ChunkReceiver,
     },
-    /// The whole answer of a plain service.
+    /// The complete answer of a plain service.
     Service {
-        /// The answer.
+        /// Status and body that the service sent.
         answer: Arc<ServiceAnswer>,
-        /// The outcome.
+        /// Outcome, sent in headers.
         outcome: Box<Outcome>,
     },
-    /// An outcome without an answer.
+    /// An outcome without a target's answer, sent as JSON and in headers.
     Ended(Refusal),
-    /// The answer of the ticket's home.
-    Passed(Box<Response>),
+    /// The answer of the ticket's home, to which the request was forwarded.
+    Forwarded(Box<Response>),
     /// A page for operators or callers.
     Page {
         /// HTTP status.
         status: u16,
-        /// Media type.
-        media: &'static str,
-        /// Body.
+        /// Value of the `content-type` header.
+        media_type: &'static str,
+        /// Complete body.
         body: Vec<u8>,
     },
 }
 
 impl Answer {
-    /// The outcome as answer, with the usual status of its reason.
+    /// Creates an answer from an outcome, with the default HTTP status of its reason.
     pub fn ended(outcome: Outcome) -> Self {
         Self::Ended(Refusal {
             status: outcome.reason.http_status(),
@@ -56,7 +56,7 @@
         })
     }
 
-    /// The answer as it is sent.
+    /// Builds the HTTP response.
     pub fn into_response(self) -> Response {
         match self {
             Self::Stream { request, events } => {
@@ -74,15 +74,15 @@
                 response
             }
             Self::Ended(refusal) => ended_response(&refusal),
-            Self::Passed(response) => *response,
+            Self::Forwarded(response) => *response,
             Self::Page {
                 status: code,
-                media,
+                media_type,
                 body,
             } => {
                 let mut response = Response::new(status(code));
                 response.set_body(body);
-                response.insert_header("content-type", media);
+                response.insert_header("content-type", media_type);
                 response
             }
         }
@@ -108,7 +108,7 @@
     }
 }
 
-/// A status that the library doesn't know becomes a failure of the target.
+/// Converts a target's status; one that the HTTP library doesn't know becomes 502 (bad gateway).
 fn status(code: u16) -> StatusCode {
     StatusCode::try_from(code).unwrap_or(StatusCode::BadGateway)
 }
--- a/crates/daemon/src/callers/answer_store.rs
+++ b/crates/daemon/src/callers/answer_store.rs
@@ -6,62 +6,62 @@
     whinlatch_wire::{ids::Ticket, target::ServiceAnswer},
 };
 
-/// Bytes of answers that are kept in all.
-const MAX_KEPT_BYTES: usize = 64 * 1_048_576;
+/// Largest total size of the stored answers, in bytes.
+const MAX_STORED_BYTES: usize = 64 * 1_048_576;
 
-/// Whole answers of plain services, kept under their tickets for callers that ask again. The
-/// oldest go when there are too many bytes; the outcome is kept by the core all the same.
+/// Stores complete answers of plain services by ticket, for callers that repeat a call. The oldest
+/// answers are evicted when the total size exceeds the limit; the core keeps their outcomes.
 #[derive(Debug, Default)]
 pub struct AnswerStore {
-    kept: Mutex<Kept>,
+    stored: Mutex<StoredAnswers>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct StoredAnswers {
     answers: BTreeMap<Ticket, Arc<ServiceAnswer>>,
     order: VecDeque<Ticket>,
     bytes: usize,
 }
 
 impl AnswerStore {
-    /// Keeps an answer.
-    pub fn keep(&self, ticket: Ticket, answer: Arc<ServiceAnswer>) {
-        let mut kept = self.lock();
-        kept.remove(ticket);
-        kept.bytes += size_of_answer(&answer);
-        kept.answers.insert(ticket, answer);
-        kept.order.push_back(ticket);
-        kept.shrink();
+    /// Stores an answer and replaces an earlier one of the same ticket.
+    pub fn insert(&self, ticket: Ticket, answer: Arc<ServiceAnswer>) {
+        let mut stored = self.lock();
+        stored.remove(ticket);
+        stored.bytes += size_of_answer(&answer);
+        stored.answers.insert(ticket, answer);
+        stored.order.push_back(ticket);
+        stored.evict_oldest();
     }
 
-    /// The answer of a ticket, if it is kept.
+    /// Returns the answer of a ticket; `None` if there was none or it was evicted.
     pub fn get(&self, ticket: Ticket) -> Option<Arc<ServiceAnswer>> {
         self.lock().answers.get(&ticket).map(Arc::clone)
     }
 
-    /// Drops an answer.
-    pub fn forget(&self, ticket: Ticket) {
+    /// Removes the answer of a ticket.
+    pub fn remove(&self, ticket: Ticket) {
         self.lock().remove(ticket);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, StoredAnswers> {
+        self.stored.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Kept {
+impl StoredAnswers {
     fn remove(&mut self, ticket: Ticket) {
         if let Some(answer) = self.answers.remove(&ticket) {
             self.bytes -= size_of_answer(&answer);
-            // Tickets are forgotten about in the order in which they came, so this ends early.
-            if let Some(place) = self.order.iter().position(|kept| *kept == ticket) {
-                self.order.remove(place);
+            // Tickets are removed in about the order of insertion, so this search ends early.
+            if let Some(index) = self.order.iter().position(|stored| *stored == ticket) {
+                self.order.remove(index);
             }
         }
     }
 
-    fn shrink(&mut self) {
-        while self.bytes > MAX_KEPT_BYTES
+    fn evict_oldest(&mut self) {
+        while self.bytes > MAX_STORED_BYTES
             && let Some(oldest) = self.order.front().copied()
         {
             self.remove(oldest);
--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -3,7 +3,7 @@
         answer::Answer,
         hangup::hangup,
         refusal::Refusal,
-        request_head::{NoHead, Replayed, read_head},
+        request_head::{HeadError, ReplayedStream, read_head},
         routes::{Routed, route},
         write_answer::write_answer,
     },
@@ -20,28 +20,31 @@
     whinlatch_wire::caller::Reason,
 };
 
-/// HTTP status of a request that took too long to send.
+/// HTTP status of a request that wasn't received in time.
 const REQUEST_TIMEOUT: u16 = 408;
-/// Time for which a refused caller's bytes are read and dropped, in ms, so that it reads the
+/// Time for which bytes of a refused caller are read and discarded, in ms, so that it can read the
 /// refusal before its connection is reset.
 const LINGER_MS: u64 = 1_000;
 
-/// A request read whole, or why there is none.
+/// The result of reading a request.
 enum Incoming {
+    /// A complete request and its body.
     Request(Box<Request>, Vec<u8>),
     Refused(Refusal),
+    /// The caller closed the connection before a request.
     Closed,
 }
 
-/// Serves a caller's connection, one request after another.
+/// Serves the requests of a caller's connection in sequence, until it closes.
 pub async fn serve_connection(shared: Arc<Shared>, stream: TcpStream) {
     while serve_one(&shared, &stream).await {}
 }
 
-/// Serves one request. Returns whether another may follow.
+/// Serves one request. Returns whether the connection stays open for another.
 async fn serve_one(shared: &Arc<Shared>, stream: &TcpStream) -> bool {
     let limit_ms = shared.settings.limits.read_timeout_ms;
-    // Boxed, since reading needs far more memory than waiting for an answer, which takes longer.
+    // Boxed, because reading needs far more memory than waiting for the answer, and the wait is
+    // the longer part.
     let reading = read_request(shared, stream).boxed();
     let read = timeout(shared.clock.as_ref(), limit_ms, reading).await;
     match read {
@@ -64,21 +67,21 @@
     let limits = &shared.settings.limits;
     let head = match read_head(stream, limits.max_header_bytes).await {
         Ok(head) => head,
-        Err(NoHead::Closed) => return Incoming::Closed,
-        Err(NoHead::Refused(refusal)) => return Incoming::Refused(refusal),
+        Err(HeadError::Closed) => return Incoming::Closed,
+        Err(HeadError::Refused(refusal)) => return Incoming::Refused(refusal),
     };
-    let replayed = Replayed::new(head, stream.clone());
+    let replayed = ReplayedStream::new(head, stream.clone());
     match async_h1::server::decode(replayed).await {
-        Ok(Some((request, _body))) => read_whole(request, limits.max_body_bytes).await,
+        Ok(Some((request, _body))) => read_full_body(request, limits.max_body_bytes).await,
         Ok(None) => Incoming::Closed,
         Err(error) => {
-            let message = format!("this is not an HTTP/1.1 request ({error}): mend it");
+            let message = format!("this is not an HTTP/1.1 request ({error}): correct it");
             Incoming::Refused(Refusal::new(Reason::BadRequest, message))
         }
     }
 }
 
-async fn read_whole(mut request: Request, max_bytes: u64) -> Incoming {
+async fn read_full_body(mut request: Request, max_bytes: u64) -> Incoming {
     let expected = request.len();
     if expected.is_some_and(|length| length as u64 > max_bytes) {
         return Incoming::Refused(body_too_large(max_bytes));
@@ -93,11 +96,11 @@
     if body.len() as u64 > max_bytes {
         return Incoming::Refused(body_too_large(max_bytes));
     }
-    let whole = read.is_ok() && expected.is_none_or(|length| length == body.len());
-    if whole {
+    let complete = read.is_ok() && expected.is_none_or(|length| length == body.len());
+    if complete {
         return Incoming::Request(Box::new(request), body);
     }
-    let message = "the request ends within its body: send it whole";
+    let message = "the connection ended within the request's body: send it whole";
     Incoming::Refused(Refusal::new(Reason::BadRequest, message))
 }
 
@@ -113,20 +116,20 @@
     body: Vec<u8>,
 ) -> bool {
     let Some(_open) = shared.open_requests.open() else {
-        let message = "this daemon is ending: use another entry";
+        let message = "this daemon is shutting down: use another entry";
         let refusal = Refusal::new(Reason::Leaving, message).retry_after_ms(0);
         refuse(shared, stream, refusal).boxed().await;
         return false;
     };
     let answer = match route(shared, request, body).boxed().await {
-        Routed::Now(answer) => answer,
-        Routed::Later(later) => {
-            let answered = later.recv();
+        Routed::Immediate(answer) => answer,
+        Routed::Pending(pending) => {
+            let answered = pending.recv();
             let gone = hangup(stream);
             pin_mut!(answered, gone);
             match select(answered, gone).await {
                 Either::Left((Ok(answer), _)) => answer,
-                // Dropping the receiver tells the exchange that the caller went away.
+                // Dropping the receiver tells the exchange that the caller disconnected.
                 Either::Left((Err(async_channel::RecvError), _)) | Either::Right(((), _)) => {
                     return false;
                 }
@@ -151,9 +154,9 @@
         .is_some_and(|value| value.last().as_str().eq_ignore_ascii_case("close"))
 }
 
-/// Answers a request that wasn't read whole and ends the connection. What is still on its way is
-/// read and dropped for a while: closing at once would reset the connection, and the caller would
-/// see that instead of the refusal.
+/// Answers a request that wasn't read completely and closes the connection. Further bytes are read
+/// and discarded for up to [`LINGER_MS`]: closing immediately would reset the connection, and the
+/// caller would see the reset instead of the refusal.
 pub async fn refuse(shared: &Shared, stream: &TcpStream, refusal: Refusal) {
     let limit_ms = shared.settings.limits.write_timeout_ms;
     let mut response = Answer::Ended(refusal).into_response();
@@ -165,9 +168,9 @@
     if !matches!(written, Some(Ok(_))) {
         return;
     }
-    // An error means that the connection is closed already, which is what is wanted.
+    // An error means that the connection is closed already.
     let _closed = stream.shutdown(Shutdown::Write);
-    let mut nowhere = futures::io::sink();
-    let drained = futures::io::copy(stream.clone(), &mut nowhere);
-    let _over = timeout(shared.clock.as_ref(), LINGER_MS, drained).await;
+    let mut discard = futures::io::sink();
+    let drained = futures::io::copy(stream.clone(), &mut discard);
+    let _ended = timeout(shared.clock.as_ref(), LINGER_MS, drained).await;
 }
--- a/crates/daemon/src/callers/exchange.rs
+++ b/crates/daemon/src/callers/exchange.rs
@@ -3,7 +3,7 @@
         answer::Answer,
         forward::Forward,
         stream_answer::{CallerGone, ChunkSender, stream_answer},
-        submission::{Read, SecretHeader},
+        submission::{ParsedRequest, SecretHeader},
     },
     crate::{
         control::Instruction,
@@ -26,52 +26,58 @@
     },
 };
 
-/// What an exchange waits for besides instructions.
-enum Running {
+/// The operation that an exchange has in flight.
+enum InFlight {
     Nothing,
     Attempt(Attempt),
     Forward(BoxFuture<'static, Option<Response>>),
 }
 
-/// One caller's request from its submission to its last byte. It carries out what the control
-/// thread decides about the request and reports what comes of it.
+/// The task of one request, from its submission to the end of its answer. It executes the control
+/// thread's instructions and reports their results to it.
 pub struct Exchange {
     shared: Arc<Shared>,
     submission: Submission,
     work: Arc<AttemptWork>,
     key: SecretHeader,
     accepted: MonoMs,
-    running: Running,
+    in_flight: InFlight,
+    /// Ticket under which a complete answer is stored for repeated calls.
     keep_answer: Option<Ticket>,
-    passed: u64,
+    /// Chunks passed to the caller so far.
+    chunks_passed: u64,
     stream: Option<ChunkSender>,
     answer: Option<Arc<ServiceAnswer>>,
+    /// Closed when the caller disconnects before its answer begins.
     caller: Sender<Answer>,
 }
 
-/// Something for the exchange to do.
-enum Happened {
-    Instructed(Box<Instruction>),
-    Stepped(Option<Step>),
+/// An event that the exchange handles.
+enum ExchangeEvent {
+    Instruction(Box<Instruction>),
+    /// `None` if the attempt ended without a last step.
+    Step(Option<Step>),
+    /// `None` if the home of the ticket didn't answer.
     Forwarded(Option<Box<Response>>),
     CallerGone,
-    ControlGone,
+    /// The control thread closed the channel of instructions.
+    ControlStopped,
 }
 
-/// Submits a request. The answer comes from the receiver; dropped, it tells that the caller went
-/// away.
-pub fn begin(shared: Arc<Shared>, read: Read) -> Receiver<Answer> {
+/// Submits a request and returns the channel on which its answer arrives. Dropping the receiver
+/// tells the exchange that the caller disconnected.
+pub fn begin(shared: Arc<Shared>, request: ParsedRequest) -> Receiver<Answer> {
     let (caller, answer) = async_channel::bounded(1);
     let accepted = shared.clock.now();
     let exchange = Exchange {
         shared,
-        submission: read.submission,
-        work: Arc::new(read.work),
-        key: read.key,
+        submission: request.submission,
+        work: Arc::new(request.work),
+        key: request.key,
         accepted,
-        running: Running::Nothing,
+        in_flight: InFlight::Nothing,
         keep_answer: None,
-        passed: 0,
+        chunks_passed: 0,
         stream: None,
         answer: None,
         caller,
@@ -80,12 +86,12 @@
     answer
 }
 
-impl Running {
-    async fn next(&mut self) -> Happened {
+impl InFlight {
+    async fn next(&mut self) -> ExchangeEvent {
         match self {
             Self::Nothing => future::pending().await,
-            Self::Attempt(attempt) => Happened::Stepped(attempt.next().await),
-            Self::Forward(answer) => Happened::Forwarded(answer.await.map(Box::new)),
+            Self::Attempt(attempt) => ExchangeEvent::Step(attempt.next().await),
+            Self::Forward(answer) => ExchangeEvent::Forwarded(answer.await.map(Box::new)),
         }
     }
 
@@ -99,49 +105,51 @@
         let submission = self.submission.clone();
         let instructions = self.shared.control.submit(submission).await;
         loop {
-            let happened = self.next(&instructions).await;
-            let over = match happened {
-                Happened::Instructed(instruction) => self.carry_out(*instruction).await,
-                Happened::Stepped(step) => self.take(step).await,
-                Happened::Forwarded(answer) => self.end_forward(answer).await,
-                Happened::CallerGone => Err(CallerGone),
-                Happened::ControlGone => self.finish(self.control_gone()).await.map(|()| true),
+            let event = self.next(&instructions).await;
+            let is_over = match event {
+                ExchangeEvent::Instruction(instruction) => self.execute(*instruction).await,
+                ExchangeEvent::Step(step) => self.on_step(step).await,
+                ExchangeEvent::Forwarded(answer) => self.end_forward(answer).await,
+                ExchangeEvent::CallerGone => Err(CallerGone),
+                ExchangeEvent::ControlStopped => {
+                    self.finish(self.control_stopped()).await.map(|()| true)
+                }
             };
-            match over {
+            match is_over {
                 Ok(false) => {}
                 Ok(true) => return,
                 Err(CallerGone) => {
                     let request = self.submission.request;
-                    return self.shared.control.caller_gone(request).await;
+                    return self.shared.control.report_caller_gone(request).await;
                 }
             }
         }
     }
 
-    async fn next(&mut self, instructions: &Receiver<Box<Instruction>>) -> Happened {
+    async fn next(&mut self, instructions: &Receiver<Box<Instruction>>) -> ExchangeEvent {
         let gone = match &self.stream {
-            Some(stream) => stream.gone().left_future(),
+            Some(stream) => stream.closed().left_future(),
             None => self.caller.closed().right_future(),
         };
-        let step = self.running.next();
-        let (instructed, gone, step) = (instructions.recv().fuse(), gone.fuse(), step.fuse());
-        pin_mut!(instructed, gone, step);
+        let step = self.in_flight.next();
+        let (instruction, gone, step) = (instructions.recv().fuse(), gone.fuse(), step.fuse());
+        pin_mut!(instruction, gone, step);
         select_biased! {
-            instruction = instructed => {
-                instruction.map_or(Happened::ControlGone, Happened::Instructed)
+            received = instruction => {
+                received.map_or(ExchangeEvent::ControlStopped, ExchangeEvent::Instruction)
             }
-            () = gone => Happened::CallerGone,
-            happened = step => happened,
+            () = gone => ExchangeEvent::CallerGone,
+            event = step => event,
         }
     }
 
-    /// Returns whether the exchange is over.
-    async fn carry_out(&mut self, instruction: Instruction) -> Result<bool, CallerGone> {
+    /// Executes an instruction. Returns whether the exchange is over.
+    async fn execute(&mut self, instruction: Instruction) -> Result<bool, CallerGone> {
         match instruction {
             Instruction::Dispatch(dispatch) => self.dispatch(*dispatch),
             Instruction::Abandon(attempt) => {
-                if self.running.is_attempt(attempt) {
-                    self.running = Running::Nothing;
+                if self.in_flight.is_attempt(attempt) {
+                    self.in_flight = InFlight::Nothing;
                 }
             }
             Instruction::Forward { to } => self.forward(to),
@@ -159,24 +167,25 @@
 
     fn dispatch(&mut self, dispatch: Dispatch) {
         self.keep_answer = dispatch.keep_answer;
-        self.running = Running::Attempt(Attempt::begin(
+        self.in_flight = InFlight::Attempt(Attempt::start(
             Arc::clone(&self.shared),
             Arc::new(dispatch),
             Arc::clone(&self.work),
-            self.passed,
+            self.chunks_passed,
         ));
     }
 
-    async fn take(&mut self, step: Option<Step>) -> Result<bool, CallerGone> {
-        let Running::Attempt(running) = &self.running else {
+    /// Handles a step of the attempt in flight. Returns whether the exchange is over.
+    async fn on_step(&mut self, step: Option<Step>) -> Result<bool, CallerGone> {
+        let InFlight::Attempt(in_flight) = &self.in_flight else {
             return Ok(false);
         };
-        let attempt = running.id();
+        let attempt = in_flight.id();
         match step {
             Some(Step::Chunk(chunk)) => {
-                let first = self.passed == 0;
-                self.pass(&chunk).await?;
-                if first {
+                let is_first = self.chunks_passed == 0;
+                self.pass_chunk(&chunk).await?;
+                if is_first {
                     self.report(attempt, AttemptEvent::FirstChunk).await;
                 }
                 if chunk.end {
@@ -184,12 +193,12 @@
                 }
             }
             Some(Step::Answer(answer)) => {
-                self.hold(answer);
+                self.store_answer(answer);
                 self.end_attempt(attempt, AttemptEvent::Completed).await;
             }
             Some(Step::Ended(event)) => self.end_attempt(attempt, event).await,
             None => {
-                let chunks = self.passed;
+                let chunks = self.chunks_passed;
                 self.end_attempt(attempt, AttemptEvent::Broken { chunks })
                     .await;
             }
@@ -197,16 +206,16 @@
         Ok(false)
     }
 
-    async fn pass(&mut self, chunk: &StreamChunk) -> Result<(), CallerGone> {
+    async fn pass_chunk(&mut self, chunk: &StreamChunk) -> Result<(), CallerGone> {
         if self.stream.is_none() {
             let ms = self.shared.clock.now().since(self.accepted);
-            self.shared.metrics.note_first_token(ms);
+            self.shared.metrics.record_first_token(ms);
             self.begin_stream()?;
         }
         if let Some(stream) = &self.stream {
-            stream.pass(chunk).await?;
+            stream.send_chunk(chunk).await?;
         }
-        self.passed = chunk.sequence + 1;
+        self.chunks_passed = chunk.sequence + 1;
         Ok(())
     }
 
@@ -220,27 +229,27 @@
         self.answer_with(Answer::Stream { request, events })
     }
 
-    /// Keeps a whole answer before its completion is reported, so that a replay finds it.
-    fn hold(&mut self, answer: ServiceAnswer) {
+    /// Stores a complete answer before its completion is reported, so that a replay finds it.
+    fn store_answer(&mut self, answer: ServiceAnswer) {
         let answer = Arc::new(answer);
         if let Some(ticket) = self.keep_answer {
-            self.shared.answers.keep(ticket, Arc::clone(&answer));
+            self.shared.answers.insert(ticket, Arc::clone(&answer));
         }
         self.answer = Some(answer);
     }
 
     async fn end_attempt(&mut self, attempt: AttemptId, event: AttemptEvent) {
-        self.running = Running::Nothing;
+        self.in_flight = InFlight::Nothing;
         self.report(attempt, event).await;
     }
 
     async fn report(&mut self, attempt: AttemptId, event: AttemptEvent) {
-        self.shared.control.attempt(attempt, event).await;
+        self.shared.control.report_attempt(attempt, event).await;
     }
 
     async fn finish(&mut self, outcome: Outcome) -> Result<(), CallerGone> {
-        self.running = Running::Nothing;
-        self.note(&outcome);
+        self.in_flight = InFlight::Nothing;
+        self.record_outcome(&outcome);
         if let Some(stream) = self.stream.take() {
             return stream.end(&outcome).await;
         }
@@ -256,68 +265,68 @@
     }
 
     fn forward(&mut self, to: SocketAddr) {
-        let spent_ms = self.shared.clock.now().since(self.accepted);
+        let elapsed_ms = self.shared.clock.now().since(self.accepted);
         let forward = Forward {
             submission: &self.submission,
             work: &self.work,
             key: &self.key,
-            left_ms: self.submission.deadline_ms.saturating_sub(spent_ms),
+            remaining_ms: self.submission.deadline_ms.saturating_sub(elapsed_ms),
             to,
         };
         let answer = forward.begin(Arc::clone(&self.shared));
-        self.running = Running::Forward(answer.boxed());
+        self.in_flight = InFlight::Forward(answer.boxed());
     }
 
-    /// The home's answer goes to the caller; without one the core has the last word.
+    /// Passes the home's answer to the caller; if there is none, the core decides the outcome.
     async fn end_forward(&mut self, answer: Option<Box<Response>>) -> Result<bool, CallerGone> {
-        self.running = Running::Nothing;
+        self.in_flight = InFlight::Nothing;
         let end = match answer {
             Some(_) => ForwardEnd::Answered,
             None => ForwardEnd::Lost,
         };
         let request = self.submission.request;
-        self.shared.control.forward_ended(request, end).await;
+        self.shared.control.report_forward_end(request, end).await;
         let Some(answer) = answer else {
             return Ok(false);
         };
         let ms = self.shared.clock.now().since(self.accepted);
-        self.shared.metrics.note_passed(&answer, ms);
-        self.answer_with(Answer::Passed(answer))?;
+        self.shared.metrics.record_forwarded(&answer, ms);
+        self.answer_with(Answer::Forwarded(answer))?;
         Ok(true)
     }
 
     async fn replay(&mut self, ticket: Ticket, outcome: Outcome) -> Result<(), CallerGone> {
         let completed = outcome.outcome == OutcomeKind::Completed;
-        let kept = self.shared.answers.get(ticket).filter(|_| completed);
-        match kept {
+        let stored = self.shared.answers.get(ticket).filter(|_| completed);
+        match stored {
             Some(answer) => {
-                self.note(&outcome);
+                self.record_outcome(&outcome);
                 self.answer_with(Answer::Service {
                     answer,
                     outcome: Box::new(outcome),
                 })
             }
-            None if completed => self.finish(answer_forgotten(&outcome)).await,
+            None if completed => self.finish(answer_evicted(&outcome)).await,
             None => self.finish(outcome).await,
         }
     }
 
-    /// The one place of the channel is free: each exchange answers once.
+    /// Sends the answer. The channel has room for one, and each exchange answers once.
     fn answer_with(&self, answer: Answer) -> Result<(), CallerGone> {
         self.caller.try_send(answer).map_err(|_closed| CallerGone)
     }
 
-    fn note(&self, outcome: &Outcome) {
+    fn record_outcome(&self, outcome: &Outcome) {
         let ms = self.shared.clock.now().since(self.accepted);
-        self.shared.metrics.note_request(outcome, ms);
+        self.shared.metrics.record_request(outcome, ms);
     }
 
-    fn control_gone(&self) -> Outcome {
+    fn control_stopped(&self) -> Outcome {
         Outcome {
             request: self.submission.request,
             outcome: OutcomeKind::Unknown,
             reason: Reason::Leaving,
-            message: "this daemon ended before the request did: it may have run, use another \
+            message: "this daemon stopped before the request ended: it may have run, use another \
                       entry"
                 .to_owned(),
             retry_after_ms: None,
@@ -326,13 +335,13 @@
     }
 }
 
-/// The run is over and completed, but its answer went to make room for others.
-fn answer_forgotten(outcome: &Outcome) -> Outcome {
+/// The outcome of a run that completed but whose answer was evicted from the store.
+fn answer_evicted(outcome: &Outcome) -> Outcome {
     Outcome {
         outcome: OutcomeKind::Unknown,
         reason: Reason::TicketLost,
         message: "the request ran once and completed, but its answer is no longer kept: don't \
-                  send it anew"
+                  send it again"
             .to_owned(),
         ..outcome.clone()
     }
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -14,10 +14,10 @@
     },
 };
 
-/// Largest answer that is passed on, in bytes.
+/// Largest answer of a home that is passed to the caller, in bytes.
 const MAX_ANSWER_BYTES: u64 = 17 * 1_048_576;
-/// Header fields of the home's answer that the caller gets.
-const PASSED_FIELDS: [&str; 5] = [
+/// Header fields of the home's answer that are copied to the caller's.
+const COPIED_FIELDS: [&str; 5] = [
     OUTCOME_HEADER,
     REASON_HEADER,
     REQUEST_HEADER,
@@ -25,33 +25,33 @@
     "content-type",
 ];
 
-/// A request that goes to the home of its ticket.
+/// A request to be forwarded to the home of its ticket.
 #[derive(Debug)]
 pub struct Forward<'a> {
-    /// The request.
+    /// The caller's request without its body.
     pub submission: &'a Submission,
-    /// Its body.
+    /// Service and body of the request.
     pub work: &'a AttemptWork,
-    /// The caller's key.
+    /// The caller's `authorization` header.
     pub key: &'a SecretHeader,
-    /// Time left, in ms.
-    pub left_ms: u64,
+    /// Time until the request's deadline, in ms.
+    pub remaining_ms: u64,
     /// The home's address for callers.
     pub to: SocketAddr,
 }
 
 impl Forward<'_> {
-    /// Passes the request on. Dropped, the answer closes its connection, and the home learns that
-    /// the caller is gone.
+    /// Forwards the request. The future yields `None` if the home doesn't answer in time. Dropping
+    /// it closes the connection, which tells the home that the caller disconnected.
     pub fn begin(
         &self,
         shared: Arc<Shared>,
     ) -> impl Future<Output = Option<Response>> + Send + 'static {
         let request = self.request(&shared);
-        let (to, left_ms) = (self.to, self.left_ms);
+        let (to, remaining_ms) = (self.to, self.remaining_ms);
         async move {
-            let answer = ask(&shared, request?, to);
-            timeout(shared.clock.as_ref(), left_ms, answer).await?
+            let answer = send(&shared, request?, to);
+            timeout(shared.clock.as_ref(), remaining_ms, answer).await?
         }
     }
 
@@ -64,7 +64,7 @@
         request.set_body(body.clone());
         request.insert_header("connection", "close");
         request.insert_header(ACCOUNT_HEADER, self.submission.account.as_str());
-        request.insert_header(DEADLINE_HEADER, self.left_ms.to_string());
+        request.insert_header(DEADLINE_HEADER, self.remaining_ms.to_string());
         request.insert_header(FORWARDED_HEADER, shared.incarnation.to_string());
         if let Some(caller) = &self.submission.caller {
             request.insert_header(CALLER_HEADER, caller.as_str());
@@ -79,13 +79,13 @@
     }
 }
 
-async fn ask(shared: &Shared, request: Request, to: SocketAddr) -> Option<Response> {
+async fn send(shared: &Shared, request: Request, to: SocketAddr) -> Option<Response> {
     let stream = connect(shared.clock.as_ref(), to).await.ok()?;
     let mut answer = async_h1::connect(stream, request).await.ok()?;
     let body = read_body(&mut answer, MAX_ANSWER_BYTES).await.ok()?;
     let mut response = Response::new(answer.status());
     response.set_body(body);
-    for field in PASSED_FIELDS {
+    for field in COPIED_FIELDS {
         if let Some(value) = answer.header(field) {
             response.insert_header(field, value.last().as_str());
         }
--- a/crates/daemon/src/callers/listener.rs
+++ b/crates/daemon/src/callers/listener.rs
@@ -15,24 +15,24 @@
     whinlatch_wire::caller::Reason,
 };
 
-/// HTTP status of a connection too many.
-const TOO_MANY: u16 = 429;
-/// Connections over the limit that are still told so; more are closed at once.
-const TOLD_OVER_LIMIT: usize = 64;
-/// When a connection too many may come back, in ms.
-const RETRY_MS: u64 = 1_000;
-/// Time to wait after an accept that failed, in ms: the process is out of descriptors, and an
-/// accept at once would fail again.
+/// HTTP status of a connection over the limit.
+const TOO_MANY_REQUESTS: u16 = 429;
+/// Connections over the limit that get a refusal; further ones are closed without an answer.
+const MAX_REFUSED_AT_ONCE: usize = 64;
+/// `retry-after` of a refusal over the limit, in ms.
+const RETRY_AFTER_MS: u64 = 1_000;
+/// Wait after a failed accept, in ms. The process is out of file descriptors then, and an
+/// immediate retry would fail again.
 const ACCEPT_RETRY_MS: u64 = 20;
 
-/// An open connection; counted until dropped.
+/// Counts a connection as open until it is dropped.
 #[derive(Debug)]
-struct Counted {
+struct ConnectionGuard {
     open: Arc<AtomicUsize>,
     shared: Arc<Shared>,
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.open.fetch_sub(1, Ordering::SeqCst);
         self.shared.metrics.add_connections(-1);
@@ -53,13 +53,13 @@
 fn accept(shared: &Arc<Shared>, open: &Arc<AtomicUsize>, stream: TcpStream) {
     let before = open.fetch_add(1, Ordering::SeqCst);
     shared.metrics.add_connections(1);
-    let counted = Counted {
+    let guard = ConnectionGuard {
         open: Arc::clone(open),
         shared: Arc::clone(shared),
     };
     let limit = shared.settings.limits.max_connections as usize;
     let write_timeout = Duration::from_millis(shared.settings.limits.write_timeout_ms);
-    if before >= limit + TOLD_OVER_LIMIT || set_options(&stream, write_timeout).is_err() {
+    if before >= limit + MAX_REFUSED_AT_ONCE || set_options(&stream, write_timeout).is_err() {
         return;
     }
     let shared = Arc::clone(shared);
@@ -67,13 +67,14 @@
         if before < limit {
             connection::serve_connection(shared, stream).await;
         } else {
-            connection::refuse(&shared, &stream, too_many(limit)).await;
+            connection::refuse(&shared, &stream, over_limit(limit)).await;
         }
-        drop(counted);
+        drop(guard);
     });
 }
 
-fn too_many(limit: usize) -> Refusal {
+fn over_limit(limit: usize) -> Refusal {
     let message = format!("{limit} connections are open already: use another entry");
-    Refusal::with_status(TOO_MANY, Reason::FleetFull, message).retry_after_ms(RETRY_MS)
+    Refusal::with_status(TOO_MANY_REQUESTS, Reason::FleetFull, message)
+        .retry_after_ms(RETRY_AFTER_MS)
 }
--- a/crates/daemon/src/callers/open_requests.rs
+++ b/crates/daemon/src/callers/open_requests.rs
@@ -4,17 +4,18 @@
     std::sync::{Arc, Mutex, PoisonError},
 };
 
-/// Counts requests from when they are read until their answers are written, so that a daemon
-/// that leaves doesn't end before the last byte.
+/// Counts requests from when they are read until their answers are written, so that a daemon that
+/// is leaving doesn't exit before the last byte is sent.
 #[derive(Debug)]
 pub struct OpenRequests {
     metrics: Arc<Metrics>,
-    /// Every open request holds a copy of the sender; the receiver ends with the last.
+    /// Each open request holds a clone of the sender; the receiver closes with the last one.
+    /// `None` once [`Self::wait_for_end`] was called.
     alive: Mutex<Option<Sender<()>>>,
     ended: Receiver<()>,
 }
 
-/// A request whose answer isn't written yet.
+/// Counts a request as open until it is dropped.
 #[derive(Debug)]
 pub struct OpenRequest {
     metrics: Arc<Metrics>,
@@ -28,7 +29,7 @@
 }
 
 impl OpenRequests {
-    /// No open requests.
+    /// Creates a counter without open requests.
     pub fn new(metrics: Arc<Metrics>) -> Self {
         let (alive, ended) = async_channel::bounded(1);
         Self {
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Counts a request until the guard is dropped; `None` once the daemon ends.
+    /// Counts a request until the guard is dropped; `None` once the daemon is shutting
+    /// down.
     pub fn open(&self) -> Option<OpenRequest> {
         let alive = self.alive.lock().unwrap_or_else(PoisonError::into_inner);
         let alive = alive.clone()?;
@@ -49,7 +51,7 @@
         })
     }
 
-    /// Opens no more requests and waits for the end of those that are open.
+    /// Admits no more requests and waits until the open ones have ended.
     pub async fn wait_for_end(&self) {
         let own = self
             .alive
--- a/crates/daemon/src/callers/pages.rs
+++ b/crates/daemon/src/callers/pages.rs
@@ -1,29 +1,31 @@
 use {
     super::{answer::Answer, refusal::Refusal},
-    crate::{control::ControlGone, shared::Shared},
+    crate::{control::ControlStopped, shared::Shared},
     serde::Serialize,
     whinlatch_wire::{caller::Reason, ids::RequestId},
 };
 
+/// Media type of JSON pages.
 const JSON: &str = "application/json";
+/// Media type of the Prometheus text format.
 const PROMETHEUS_TEXT: &str = "text/plain; version=0.0.4";
 
-/// The addresses that callers may use.
+/// Returns the addresses that callers may use.
 pub async fn entries(shared: &Shared) -> Answer {
     page(shared.control.entries().await)
 }
 
-/// The state of the daemon.
+/// Returns the state of the daemon.
 pub async fn status(shared: &Shared) -> Answer {
     page(shared.control.status().await)
 }
 
-/// The records and where they are in force.
+/// Returns the records and the daemons on which each is in force.
 pub async fn records(shared: &Shared) -> Answer {
     page(shared.control.records().await)
 }
 
-/// Why a request went where it did.
+/// Returns the routing decisions of a request.
 pub async fn decisions(shared: &Shared, request: &str) -> Answer {
     let request: RequestId = match request.parse() {
         Ok(request) => request,
@@ -34,47 +36,47 @@
     };
     match shared.control.decisions(request).await {
         Ok(None) => {
-            let message = "nothing is kept of this request here: ask the entry that took it, soon";
+            let message = "no decisions are kept for this request here: ask its entry, soon after";
             Answer::Ended(Refusal::with_status(404, Reason::BadRequest, message))
         }
         found => page(found),
     }
 }
 
-/// The metrics.
+/// Returns the metrics in the Prometheus text format.
 pub fn metrics(shared: &Shared) -> Answer {
     match shared.metrics.render() {
         Ok(body) => Answer::Page {
             status: 200,
-            media: PROMETHEUS_TEXT,
+            media_type: PROMETHEUS_TEXT,
             body,
         },
-        Err(error) => failed(&error.to_string()),
+        Err(error) => internal_error(&error.to_string()),
     }
 }
 
-fn page<T: Serialize>(content: Result<T, ControlGone>) -> Answer {
+fn page<T: Serialize>(content: Result<T, ControlStopped>) -> Answer {
     let content = match content {
         Ok(content) => content,
-        Err(gone) => {
-            let refusal = Refusal::new(Reason::Leaving, gone.to_string()).retry_after_ms(0);
+        Err(stopped) => {
+            let refusal = Refusal::new(Reason::Leaving, stopped.to_string()).retry_after_ms(0);
             return Answer::Ended(refusal);
         }
     };
     match serde_json::to_vec(&content) {
         Ok(body) => Answer::Page {
             status: 200,
-            media: JSON,
+            media_type: JSON,
             body,
         },
-        Err(error) => failed(&error.to_string()),
+        Err(error) => internal_error(&error.to_string()),
     }
 }
 
-fn failed(detail: &str) -> Answer {
+fn internal_error(detail: &str) -> Answer {
     Answer::Page {
         status: 500,
-        media: "text/plain",
+        media_type: "text/plain",
         body: detail.as_bytes().to_vec(),
     }
 }
--- a/crates/daemon/src/callers/refusal.rs
+++ b/crates/daemon/src/callers/refusal.rs
@@ -6,22 +6,23 @@
     },
 };
 
-/// A request that is refused before the core sees it.
+/// An answer that consists of an outcome only. The constructors are for requests that are refused
+/// before they reach the core; their outcome is `not_run`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal {
-    /// HTTP status.
+    /// HTTP status of the answer.
     pub status: u16,
-    /// Outcome for the caller.
+    /// Outcome, sent as the body and in headers.
     pub outcome: Box<Outcome>,
 }
 
 impl Refusal {
-    /// A refusal with the usual status of its reason.
+    /// Creates a refusal with the default HTTP status of its reason.
     pub fn new(reason: Reason, message: impl Into<String>) -> Self {
         Self::with_status(reason.http_status(), reason, message)
     }
 
-    /// A refusal with a status of its own.
+    /// Creates a refusal with another status than the default one of its reason.
     pub fn with_status(status: u16, reason: Reason, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -36,14 +37,14 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after_ms(mut self, ms: u64) -> Self {
         self.outcome.retry_after_ms = Some(ms);
         self
     }
 }
 
-/// The reason as it stands in headers, bodies and metrics.
+/// Returns a reason's name in headers, bodies and metrics.
 pub fn reason_name(reason: Reason) -> String {
     match serde_json::to_value(reason) {
         Ok(serde_json::Value::String(name)) => name,
--- a/crates/daemon/src/callers/request_head.rs
+++ b/crates/daemon/src/callers/request_head.rs
@@ -10,31 +10,32 @@
     whinlatch_wire::caller::Reason,
 };
 
-/// End of a request's head.
+/// Bytes that end a request's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Largest head that the HTTP library takes, in bytes.
+/// Largest head that the HTTP library accepts, in bytes.
 const LIBRARY_MAX_HEAD_BYTES: u64 = 8_191;
-/// Most header fields that the HTTP library takes.
+/// Largest number of header fields that the HTTP library accepts.
 const LIBRARY_MAX_FIELDS: usize = 128;
-/// Lines of a head that are no fields: the first, the empty one and what follows it.
-const LINES_BESIDE_FIELDS: usize = 3;
-/// Bytes read at once.
+/// Pieces of a head split at line feeds that aren't fields: the request line, the empty line and
+/// the empty rest after it.
+const NON_FIELD_LINES: usize = 3;
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 4_096;
 /// HTTP status of a head that is too large.
 const HEAD_TOO_LARGE: u16 = 431;
 
-/// Why there is no head.
+/// Reason why no head was read.
 #[derive(Debug)]
-pub enum NoHead {
+pub enum HeadError {
     /// The caller closed the connection between two requests.
     Closed,
-    /// The head is refused.
+    /// The head is invalid or too large.
     Refused(Refusal),
 }
 
-/// Reads the head of a request, and maybe some of its body. The bytes are held to the limits here,
-/// since the HTTP library ends the connection without a word when its own are passed.
-pub async fn read_head(stream: &TcpStream, max_bytes: u64) -> Result<Vec<u8>, NoHead> {
+/// Reads the head of a request, and possibly part of its body. The limits are checked here because
+/// the HTTP library closes the connection without an answer when its own are exceeded.
+pub async fn read_head(stream: &TcpStream, max_bytes: u64) -> Result<Vec<u8>, HeadError> {
     let mut stream = stream;
     let limit = max_bytes.min(LIBRARY_MAX_HEAD_BYTES) as usize;
     let mut head = Vec::new();
@@ -42,13 +43,14 @@
     loop {
         let read = stream.read(&mut buffer).await.unwrap_or(0);
         if read == 0 {
-            return Err(cut_off(&head));
+            return Err(truncated(&head));
         }
-        let searched = head.len().saturating_sub(HEAD_END.len());
+        let search_start = head.len().saturating_sub(HEAD_END.len());
         head.extend_from_slice(&buffer[..read]);
-        let end = find(&head[searched..], HEAD_END).map(|at| searched + at + HEAD_END.len());
+        let end =
+            find(&head[search_start..], HEAD_END).map(|at| search_start + at + HEAD_END.len());
         if end.unwrap_or(head.len()) > limit {
-            return Err(NoHead::Refused(too_large(limit)));
+            return Err(HeadError::Refused(too_large(limit)));
         }
         if let Some(end) = end {
             check_fields(&head[..end])?;
@@ -57,23 +59,23 @@
     }
 }
 
-fn cut_off(head: &[u8]) -> NoHead {
+fn truncated(head: &[u8]) -> HeadError {
     if head.is_empty() {
-        return NoHead::Closed;
+        return HeadError::Closed;
     }
-    let message = "the request ends within its head: send it whole";
-    NoHead::Refused(Refusal::new(Reason::BadRequest, message))
+    let message = "the connection ended within the request's head: send it whole";
+    HeadError::Refused(Refusal::new(Reason::BadRequest, message))
 }
 
-fn check_fields(head: &[u8]) -> Result<(), NoHead> {
+fn check_fields(head: &[u8]) -> Result<(), HeadError> {
     let lines = head.split(|byte| *byte == b'\n').count();
-    let fields = lines.saturating_sub(LINES_BESIDE_FIELDS);
+    let fields = lines.saturating_sub(NON_FIELD_LINES);
     if fields <= LIBRARY_MAX_FIELDS {
         return Ok(());
     }
     let message = format!("{fields} header fields are too many: send at most {LIBRARY_MAX_FIELDS}");
     let refusal = Refusal::with_status(HEAD_TOO_LARGE, Reason::TooLarge, message);
-    Err(NoHead::Refused(refusal))
+    Err(HeadError::Refused(refusal))
 }
 
 fn too_large(limit: usize) -> Refusal {
@@ -81,49 +83,50 @@
     Refusal::with_status(HEAD_TOO_LARGE, Reason::TooLarge, message)
 }
 
-fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
+fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes
-        .windows(wanted.len())
-        .position(|window| window == wanted)
+        .windows(pattern.len())
+        .position(|window| window == pattern)
 }
 
-/// A caller's connection with the bytes in front of it that were read already.
+/// A caller's connection, preceded by the bytes that were already read from it.
 #[derive(Debug, Clone)]
-pub struct Replayed {
-    read: Vec<u8>,
-    taken: usize,
+pub struct ReplayedStream {
+    prefix: Vec<u8>,
+    /// Bytes of `prefix` that were returned so far.
+    consumed: usize,
     stream: TcpStream,
 }
 
-impl Replayed {
-    /// Reads `read` first, then from the connection.
-    pub fn new(read: Vec<u8>, stream: TcpStream) -> Self {
+impl ReplayedStream {
+    /// Creates a stream that yields `prefix` first and then reads from the connection.
+    pub fn new(prefix: Vec<u8>, stream: TcpStream) -> Self {
         Self {
-            read,
-            taken: 0,
+            prefix,
+            consumed: 0,
             stream,
         }
     }
 }
 
-impl AsyncRead for Replayed {
+impl AsyncRead for ReplayedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let left = &self.read[self.taken..];
-        if left.is_empty() {
+        let remaining = &self.prefix[self.consumed..];
+        if remaining.is_empty() {
             return Pin::new(&mut self.stream).poll_read(context, buffer);
         }
-        let count = left.len().min(buffer.len());
-        buffer[..count].copy_from_slice(&left[..count]);
-        self.taken += count;
+        let count = remaining.len().min(buffer.len());
+        buffer[..count].copy_from_slice(&remaining[..count]);
+        self.consumed += count;
         Poll::Ready(Ok(count))
     }
 }
 
-impl AsyncWrite for Replayed {
+impl AsyncWrite for ReplayedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/daemon/src/callers/routes.rs
+++ b/crates/daemon/src/callers/routes.rs
@@ -3,7 +3,7 @@
         answer::Answer,
         exchange, pages,
         refusal::Refusal,
-        submission::{Read, read_call, read_completion},
+        submission::{ParsedRequest, parse_call, parse_completion},
     },
     crate::shared::Shared,
     async_channel::Receiver,
@@ -15,50 +15,50 @@
     },
 };
 
-/// What a request leads to.
+/// The answer to a request, or the channel on which it arrives.
 #[derive(Debug)]
 pub enum Routed {
-    /// An answer at once.
-    Now(Answer),
-    /// An answer that comes from an exchange.
-    Later(Receiver<Answer>),
+    /// An answer that is available immediately.
+    Immediate(Answer),
+    /// An answer that an exchange sends once the request has been processed.
+    Pending(Receiver<Answer>),
 }
 
-/// Finds out what a request asks for and begins it.
+/// Dispatches a request by its method and path.
 pub async fn route(shared: &Arc<Shared>, request: &Request, body: Vec<u8>) -> Routed {
     let path = request.url().path();
     match (request.method(), path) {
-        (Method::Post, COMPLETIONS_PATH) => begin(shared, read_completion(request, &body)),
-        (Method::Get, ENTRIES_PATH) => Routed::Now(pages::entries(shared).await),
-        (Method::Get, STATUS_PATH) => Routed::Now(pages::status(shared).await),
-        (Method::Get, RECORDS_REPORT_PATH) => Routed::Now(pages::records(shared).await),
-        (Method::Get, METRICS_PATH) => Routed::Now(pages::metrics(shared)),
+        (Method::Post, COMPLETIONS_PATH) => begin(shared, parse_completion(request, &body)),
+        (Method::Get, ENTRIES_PATH) => Routed::Immediate(pages::entries(shared).await),
+        (Method::Get, STATUS_PATH) => Routed::Immediate(pages::status(shared).await),
+        (Method::Get, RECORDS_REPORT_PATH) => Routed::Immediate(pages::records(shared).await),
+        (Method::Get, METRICS_PATH) => Routed::Immediate(pages::metrics(shared)),
         (method, _) => {
             if let Some(service) = path.strip_prefix(SERVICES_PREFIX) {
                 return match method {
-                    Method::Post => begin(shared, read_call(request, service, body)),
+                    Method::Post => begin(shared, parse_call(request, service, body)),
                     _ => refuse(wrong_method()),
                 };
             }
             if let Some(id) = path.strip_prefix(DECISIONS_PREFIX)
                 && method == Method::Get
             {
-                return Routed::Now(pages::decisions(shared, id).await);
+                return Routed::Immediate(pages::decisions(shared, id).await);
             }
             refuse(unknown_path(path))
         }
     }
 }
 
-fn begin(shared: &Arc<Shared>, read: Result<Read, Refusal>) -> Routed {
-    match read {
-        Ok(read) => Routed::Later(exchange::begin(Arc::clone(shared), read)),
+fn begin(shared: &Arc<Shared>, parsed: Result<ParsedRequest, Refusal>) -> Routed {
+    match parsed {
+        Ok(request) => Routed::Pending(exchange::begin(Arc::clone(shared), request)),
         Err(refusal) => refuse(refusal),
     }
 }
 
 fn refuse(refusal: Refusal) -> Routed {
-    Routed::Now(Answer::Ended(refusal))
+    Routed::Immediate(Answer::Ended(refusal))
 }
 
 fn wrong_method() -> Refusal {
--- a/crates/daemon/src/callers/stream_answer.rs
+++ b/crates/daemon/src/callers/stream_answer.rs
@@ -10,16 +10,16 @@
     },
 };
 
-/// Events that may wait for a slow caller.
-const WAITING_EVENTS: usize = 64;
+/// Events queued for a slow caller.
+const EVENT_QUEUE_LEN: usize = 64;
 /// The last event of each stream.
 const DONE: &str = "data: [DONE]\n\n";
 
-/// The caller takes no more.
+/// The caller has disconnected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerGone;
 
-/// Sends the events of one answer.
+/// The sending half of a streamed answer.
 #[derive(Debug)]
 pub struct ChunkSender {
     request: RequestId,
@@ -27,24 +27,24 @@
     events: Sender<Vec<u8>>,
 }
 
-/// Takes the events of one answer.
+/// The receiving half of a streamed answer; dropped when the caller disconnects.
 #[derive(Debug)]
 pub struct ChunkReceiver(Receiver<Vec<u8>>);
 
-/// A stream of events, both ends.
+/// Creates the two halves of a streamed answer.
 pub fn stream_answer(request: RequestId, model: ModelName) -> (ChunkSender, ChunkReceiver) {
-    let (events, taken) = async_channel::bounded(WAITING_EVENTS);
+    let (events, received) = async_channel::bounded(EVENT_QUEUE_LEN);
     let sender = ChunkSender {
         request,
         model,
         events,
     };
-    (sender, ChunkReceiver(taken))
+    (sender, ChunkReceiver(received))
 }
 
 impl ChunkSender {
-    /// Passes a chunk on.
-    pub async fn pass(&self, chunk: &StreamChunk) -> Result<(), CallerGone> {
+    /// Sends a target's chunk to the caller.
+    pub async fn send_chunk(&self, chunk: &StreamChunk) -> Result<(), CallerGone> {
         let choice = CompletionChoice {
             index: 0,
             text: chunk.text.clone(),
@@ -59,14 +59,14 @@
         self.send(event("", &chunk)).await
     }
 
-    /// Ends the stream.
+    /// Sends the outcome and the end of the stream.
     pub async fn end(&self, outcome: &Outcome) -> Result<(), CallerGone> {
         self.send(event("event: outcome\n", outcome)).await?;
         self.send(DONE.as_bytes().to_vec()).await
     }
 
-    /// Waits until the caller takes no more.
-    pub async fn gone(&self) {
+    /// Waits until the caller disconnects.
+    pub async fn closed(&self) {
         self.events.closed().await;
     }
 
@@ -76,7 +76,7 @@
 }
 
 impl ChunkReceiver {
-    /// The events as the body of an answer.
+    /// Converts the events to the body of an HTTP response.
     pub fn into_reader(self) -> impl AsyncBufRead + Unpin + Send + Sync + 'static {
         let events: Pin<Box<dyn Stream<Item = io::Result<Vec<u8>>> + Send + Sync>> =
             Box::pin(self.0.map(Ok));
--- a/crates/daemon/src/callers/submission.rs
+++ b/crates/daemon/src/callers/submission.rs
@@ -18,27 +18,27 @@
 
 /// Bytes of a prompt in one block of its prefix chain.
 const BLOCK_BYTES: usize = 4 * PREFIX_BLOCK_TOKENS as usize;
-/// Blocks of a prompt that are hashed.
+/// Largest number of blocks of a prompt that are hashed.
 const MAX_BLOCKS: usize = 256;
-/// Longest deadline that makes sense to anyone, in ms: a day. Records may allow less.
+/// Longest deadline that is accepted, in ms: one day. Records may allow less.
 const MAX_DEADLINE_MS: u64 = 86_400_000;
-/// Longest name or key in a header, in bytes.
+/// Longest account, caller name or idempotency key in a header, in bytes.
 const MAX_NAME_BYTES: usize = 512;
-/// What comes before the key in the header.
+/// Authentication scheme that precedes the key in the header.
 const BEARER: &str = "Bearer ";
 
-/// A caller's request, read whole.
+/// A caller's request, parsed and checked.
 #[derive(Debug)]
-pub struct Read {
-    /// For the core.
+pub struct ParsedRequest {
+    /// What the core decides by.
     pub submission: Submission,
-    /// For the target.
+    /// What is sent to the target.
     pub work: AttemptWork,
-    /// The header that carries the caller's key, for the home of its ticket.
+    /// The caller's `authorization` header, passed on if the request is forwarded.
     pub key: SecretHeader,
 }
 
-/// A header that must not reach a log.
+/// A header value that must not appear in logs; `None` if the request doesn't have it.
 #[derive(Clone)]
 pub struct SecretHeader(pub Option<String>);
 
@@ -48,11 +48,11 @@
     }
 }
 
-/// Reads a request for a completion.
-pub fn read_completion(request: &Request, body: &[u8]) -> Result<Read, Refusal> {
+/// Parses a request for a completion.
+pub fn parse_completion(request: &Request, body: &[u8]) -> Result<ParsedRequest, Refusal> {
     check_json(request)?;
     let completion: CompletionRequest = serde_json::from_slice(body).map_err(|error| {
-        let message = format!("the body is not a completion request ({error}): mend it");
+        let message = format!("the body is not a completion request ({error}): correct it");
         Refusal::new(Reason::BadRequest, message)
     })?;
     if !completion.stream {
@@ -78,11 +78,15 @@
         prompt_tokens,
         prefix_hashes,
     };
-    Ok(read(request, submission, work))
+    Ok(parsed_request(request, submission, work))
 }
 
-/// Reads a call of a plain service.
-pub fn read_call(request: &Request, service: &str, body: Vec<u8>) -> Result<Read, Refusal> {
+/// Parses a call of a plain service.
+pub fn parse_call(
+    request: &Request,
+    service: &str,
+    body: Vec<u8>,
+) -> Result<ParsedRequest, Refusal> {
     if service.is_empty() || service.contains('/') {
         let message = "the path names no service: write /v1/services/NAME";
         return Err(Refusal::with_status(404, Reason::BadRequest, message));
@@ -101,11 +105,11 @@
         account: submission.account.clone(),
         body,
     };
-    Ok(read(request, submission, work))
+    Ok(parsed_request(request, submission, work))
 }
 
-fn read(request: &Request, submission: Submission, work: AttemptWork) -> Read {
-    Read {
+fn parsed_request(request: &Request, submission: Submission, work: AttemptWork) -> ParsedRequest {
+    ParsedRequest {
         submission,
         work,
         key: SecretHeader(header(request, "authorization").map(str::to_owned)),
@@ -117,17 +121,19 @@
         let message = format!("the header {ACCOUNT_HEADER} is missing: name your client account");
         Refusal::new(Reason::BadRequest, message)
     })?;
-    let parsed = |header: &str, error: String| {
+    let invalid = |header: &str, error: String| {
         Refusal::new(Reason::BadRequest, format!("the header {header}: {error}"))
     };
     let ticket = header(request, TICKET_HEADER)
         .map(str::parse)
         .transpose()
-        .map_err(|error: whinlatch_wire::ids::BadId| parsed(TICKET_HEADER, error.to_string()))?;
+        .map_err(|error: whinlatch_wire::ids::BadId| invalid(TICKET_HEADER, error.to_string()))?;
     let forwarded_by = header(request, FORWARDED_HEADER)
         .map(str::parse)
         .transpose()
-        .map_err(|error: whinlatch_wire::ids::BadId| parsed(FORWARDED_HEADER, error.to_string()))?;
+        .map_err(|error: whinlatch_wire::ids::BadId| {
+            invalid(FORWARDED_HEADER, error.to_string())
+        })?;
     Ok(Submission {
         request: RequestId(random_u128()),
         account: AccountName::new(account),
@@ -143,18 +149,18 @@
 }
 
 fn deadline(request: &Request) -> Result<u64, Refusal> {
-    let bad = |what: &str| {
+    let invalid = |fault: &str| {
         let message = format!(
-            "the header {DEADLINE_HEADER} {what}: write whole milliseconds from 1 to \
+            "the header {DEADLINE_HEADER} {fault}: write whole milliseconds from 1 to \
              {MAX_DEADLINE_MS}"
         );
         Refusal::new(Reason::BadDeadline, message)
     };
-    let text = header(request, DEADLINE_HEADER).ok_or_else(|| bad("is missing"))?;
+    let text = header(request, DEADLINE_HEADER).ok_or_else(|| invalid("is missing"))?;
     match text.parse::<u64>() {
         Ok(ms) if (1..=MAX_DEADLINE_MS).contains(&ms) => Ok(ms),
-        Ok(_out_of_bounds) => Err(bad("is out of bounds")),
-        Err(_no_number) => Err(bad("is not a whole positive number")),
+        Ok(_out_of_bounds) => Err(invalid("is out of bounds")),
+        Err(_no_number) => Err(invalid("is not a whole positive number")),
     }
 }
 
@@ -162,10 +168,10 @@
     request.header(name).map(|values| values.last().as_str())
 }
 
-fn name<'a>(request: &'a Request, of: &str) -> Result<Option<&'a str>, Refusal> {
-    match header(request, of) {
+fn name<'a>(request: &'a Request, field: &str) -> Result<Option<&'a str>, Refusal> {
+    match header(request, field) {
         Some(text) if text.is_empty() || text.len() > MAX_NAME_BYTES => {
-            let message = format!("the header {of} must have 1 to {MAX_NAME_BYTES} bytes");
+            let message = format!("the header {field} must have 1 to {MAX_NAME_BYTES} bytes");
             Err(Refusal::new(Reason::BadRequest, message))
         }
         found => Ok(found),
@@ -173,8 +179,8 @@
 }
 
 fn check_json(request: &Request) -> Result<(), Refusal> {
-    let media = header(request, "content-type").unwrap_or_default();
-    let essence = media.split(';').next().unwrap_or_default().trim();
+    let media_type = header(request, "content-type").unwrap_or_default();
+    let essence = media_type.split(';').next().unwrap_or_default().trim();
     if essence.eq_ignore_ascii_case("application/json") {
         return Ok(());
     }
@@ -182,7 +188,7 @@
     Err(Refusal::with_status(415, Reason::BadRequest, message))
 }
 
-/// SHA-256 of the key, in hexadecimal; that of nothing if there is no key.
+/// Returns the SHA-256 of the key, in hexadecimal; that of no bytes if there is no key.
 fn key_digest(request: &Request) -> String {
     let key = header(request, "authorization")
         .and_then(|value| value.strip_prefix(BEARER))
@@ -195,19 +201,21 @@
     hex
 }
 
-/// Hashes of the prompt's whole blocks, each chained to the one before.
+/// Returns the hashes of the prompt's complete blocks, each seeded with the one before, so that
+/// equal hashes mean equal prefixes.
 fn prefix_hashes(prompt: &[u8]) -> Vec<u64> {
     prompt
         .chunks_exact(BLOCK_BYTES)
         .take(MAX_BLOCKS)
-        .scan(0, |before, block| {
-            *before = xxh3_64_with_seed(block, *before);
-            Some(*before)
+        .scan(0, |hash, block| {
+            *hash = xxh3_64_with_seed(block, *hash);
+            Some(*hash)
         })
         .collect()
 }
 
-/// The same for the same request sent again, and for no other. Lengths keep the parts apart.
+/// Returns a hash that identifies a request, so that a repeated one is recognized. The length of
+/// each part is hashed too, so that the same bytes split differently give another hash.
 fn fingerprint(account: &str, path: &str, body: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     for part in [account.as_bytes(), path.as_bytes(), body] {
--- a/crates/daemon/src/callers/write_answer.rs
+++ b/crates/daemon/src/callers/write_answer.rs
@@ -12,14 +12,14 @@
     std::io,
 };
 
-/// Bytes written at once.
+/// Size of the pieces in which an answer is written, in bytes.
 const PIECE_BYTES: usize = 4_096;
 
-/// Writes an answer. Ends early if the caller goes away or takes no piece of it in
-/// `piece_timeout_ms`: a caller that reads nothing must not hold memory for ever.
+/// Writes an answer. Fails early if the caller disconnects or doesn't accept a piece within
+/// `piece_timeout_ms`: a caller that reads nothing must not hold memory indefinitely.
 ///
 /// # Errors
-/// The caller doesn't get the whole answer.
+/// The answer wasn't written completely.
 pub async fn write_answer(
     clock: &dyn Clock,
     stream: &TcpStream,
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,5 +1,5 @@
-//! The runtime's clock. async-std has none that tests can pause, so one trait at the edge stands
-//! for it, and nothing else of the daemon asks for the time.
+//! The clock of the daemon. async-std has none that tests can pause, so all code of the daemon reads
+//! the time and sleeps through the trait [`Clock`].
 
 mod paused_clock;
 mod system_clock;
@@ -14,13 +14,13 @@
 
 /// A monotonic clock and its timers.
 pub trait Clock: Debug + Send + Sync + 'static {
-    /// Time since some start, in µs.
+    /// Returns the time since an arbitrary start, in µs.
     fn now_us(&self) -> u64;
 
-    /// Ends after `ms` of this clock.
+    /// Sleeps for `ms` of this clock.
     fn sleep(&self, ms: u64) -> BoxFuture<'static, ()>;
 
-    /// Time since some start, as the core wants it.
+    /// Returns the time since the same start as the core's type.
     fn now(&self) -> MonoMs {
         MonoMs(self.now_us() / US_PER_MS)
     }
--- a/crates/daemon/src/clock/paused_clock.rs
+++ b/crates/daemon/src/clock/paused_clock.rs
@@ -5,7 +5,7 @@
     std::sync::{Mutex, MutexGuard, PoisonError},
 };
 
-/// A clock that stands still until a test advances it.
+/// A clock that only moves when a test advances it.
 #[derive(Debug, Default)]
 pub struct PausedClock {
     state: Mutex<State>,
@@ -17,15 +17,15 @@
     sleepers: Vec<Sleeper>,
 }
 
-/// A sleep; it ends when its sender is dropped.
+/// A pending sleep; it ends when its sender is dropped.
 #[derive(Debug)]
 struct Sleeper {
     until_us: u64,
-    wake: Sender<()>,
+    alive: Sender<()>,
 }
 
 impl PausedClock {
-    /// Advances the clock and ends the sleeps that are over by then.
+    /// Advances the clock and ends the sleeps whose time has passed.
     pub fn advance(&self, ms: u64) {
         let mut state = self.lock();
         state.now_us += ms * US_PER_MS;
@@ -33,7 +33,7 @@
         state.sleepers.retain(|sleeper| sleeper.until_us > now_us);
     }
 
-    /// Sleeps that haven't ended.
+    /// Returns the number of sleeps that haven't ended.
     pub fn sleeping(&self) -> usize {
         self.lock().sleepers.len()
     }
@@ -42,16 +42,17 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn sleep_until(&self, ms: u64) -> Option<Receiver<()>> {
+    /// Registers a sleep and returns the channel whose end ends it; `None` for a sleep of 0 ms.
+    fn add_sleeper(&self, ms: u64) -> Option<Receiver<()>> {
         if ms == 0 {
             return None;
         }
         let mut state = self.lock();
-        let (wake, woken) = async_channel::bounded(1);
+        let (alive, ended) = async_channel::bounded(1);
         let until_us = state.now_us + ms * US_PER_MS;
-        state.sleepers.retain(|sleeper| !sleeper.wake.is_closed());
-        state.sleepers.push(Sleeper { until_us, wake });
-        Some(woken)
+        state.sleepers.retain(|sleeper| !sleeper.alive.is_closed());
+        state.sleepers.push(Sleeper { until_us, alive });
+        Some(ended)
     }
 }
 
@@ -61,12 +62,12 @@
     }
 
     fn sleep(&self, ms: u64) -> BoxFuture<'static, ()> {
-        let Some(woken) = self.sleep_until(ms) else {
+        let Some(ended) = self.add_sleeper(ms) else {
             return futures::future::ready(()).boxed();
         };
         async move {
-            // The sender is dropped, not used: the channel's end is the end of the sleep.
-            let _ended = woken.recv().await;
+            // Nothing is ever sent: the sleep ends when the sender is dropped.
+            let _closed = ended.recv().await;
         }
         .boxed()
     }
--- a/crates/daemon/src/clock/system_clock.rs
+++ b/crates/daemon/src/clock/system_clock.rs
@@ -11,17 +11,17 @@
 /// Microseconds in a second.
 const US_PER_S: u64 = 1_000 * US_PER_MS;
 
-/// The clock of the system.
+/// The system's boot-time clock.
 ///
-/// It counts the time for which the machine was suspended, which the steady clock doesn't: a
-/// process that slept through its deadlines would take them to be ahead still.
+/// It includes the time for which the machine was suspended, which the monotonic clock doesn't:
+/// with that, a process would take deadlines that passed during a suspension as still ahead.
 #[derive(Debug)]
 pub struct SystemClock {
     start_us: u64,
 }
 
 impl SystemClock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at 0 now.
     pub fn start() -> Self {
         Self {
             start_us: boot_time_us(),
--- a/crates/daemon/src/clock/timeout.rs
+++ b/crates/daemon/src/clock/timeout.rs
@@ -6,7 +6,8 @@
     },
 };
 
-/// Waits for `future` for at most `ms`; `None` if it takes longer.
+/// Waits for `future` for at most `ms` of `clock`. Returns `None` and drops the future if it takes
+/// longer.
 pub async fn timeout<F: Future>(clock: &dyn Clock, ms: u64, future: F) -> Option<F::Output> {
     pin_mut!(future);
     match select(future, clock.sleep(ms)).await {
--- a/crates/daemon/src/conf.rs
+++ b/crates/daemon/src/conf.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon.
+//! Loading of the daemon's settings file.
 
 mod load;
 
--- a/crates/daemon/src/conf/load.rs
+++ b/crates/daemon/src/conf/load.rs
@@ -4,16 +4,17 @@
     whinlatch_wire::conf::{Settings, check_settings},
 };
 
-/// Reads the settings and checks them whole.
+/// Reads and checks the settings file.
 ///
 /// # Errors
-/// The file can't be read, or all its faults.
+/// [`DaemonError::Unreadable`] if the file can't be read, [`DaemonError::InvalidSettings`] with all its
+/// faults if it is invalid.
 pub fn load(path: &Path) -> Result<Settings, DaemonError> {
     let text = fs::read_to_string(path).map_err(|source| DaemonError::Unreadable {
         path: path.to_owned(),
         source,
     })?;
-    check_settings(&text).map_err(|faults| DaemonError::Faulty {
+    check_settings(&text).map_err(|faults| DaemonError::InvalidSettings {
         path: path.to_owned(),
         faults,
     })
--- a/crates/daemon/src/control/hands.rs
+++ b/crates/daemon/src/control/action_executor.rs
@@ -6,9 +6,9 @@
     whinlatch_core::Action,
 };
 
-/// Carries out the core's actions without ever waiting.
+/// Executes the core's actions without blocking: slow ones are spawned as tasks.
 #[derive(Debug)]
-pub struct Hands {
+pub struct ActionExecutor {
     pub shared: Arc<Shared>,
     pub requests: Requests,
     pub links: OpenLinks,
@@ -16,8 +16,8 @@
     pub stopped: bool,
 }
 
-impl Hands {
-    pub fn carry_out(&mut self, action: Action) {
+impl ActionExecutor {
+    pub fn execute(&mut self, action: Action) {
         match action {
             Action::Dispatch(dispatch) => self.requests.dispatch(dispatch),
             Action::Finish(outcome) => self.requests.finish(outcome),
@@ -30,8 +30,8 @@
                 outcome,
             } => self
                 .requests
-                .hand_over(request, Instruction::Replay { ticket, outcome }),
-            Action::ForgetAnswer { ticket } => self.shared.answers.forget(ticket),
+                .finish_with(request, Instruction::Replay { ticket, outcome }),
+            Action::ForgetAnswer { ticket } => self.shared.answers.remove(ticket),
             Action::Abandon { attempt } => self.requests.abandon(attempt),
             Action::Call {
                 target,
--- a/crates/daemon/src/control/control_handle.rs
+++ b/crates/daemon/src/control/control_handle.rs
@@ -10,118 +10,118 @@
     },
 };
 
-/// Instructions of one request that may wait to be carried out. A request has few attempts, each
-/// with a dispatch and an end, so that this is never full while its task lives. They are boxed,
-/// since a channel holds the memory for all that may wait from its start.
-const WAITING_INSTRUCTIONS: usize = 64;
+/// Instructions queued for the task of one request. A request has few attempts, each with a
+/// dispatch and an end, so the queue is never full while its task runs. Instructions are boxed
+/// because a bounded channel allocates all its slots when it is created.
+const INSTRUCTION_QUEUE_LEN: usize = 64;
 
-/// The control thread has ended.
+/// The control thread has stopped and answers no more queries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("this daemon is ending: use another entry")]
-pub struct ControlGone;
+pub struct ControlStopped;
 
-/// The way to the control thread.
+/// Sends messages to the control thread; cloned by every task that needs it.
 #[derive(Debug, Clone)]
 pub struct ControlHandle {
     inbox: Sender<ControlMessage>,
 }
 
 impl ControlHandle {
-    /// A handle that sends to `inbox`.
+    /// Creates a handle that sends to `inbox`.
     pub fn new(inbox: Sender<ControlMessage>) -> Self {
         Self { inbox }
     }
 
-    /// Sends a message, waiting while the thread is behind. Nothing is left to do for a message
-    /// to a thread that has ended, so it is dropped then.
+    /// Sends a message, waiting while the inbox is full. After the control thread has stopped,
+    /// messages are dropped: there is nothing left to do for them.
     pub async fn send(&self, message: ControlMessage) {
-        let _ended = self.inbox.send(message).await;
+        let _stopped = self.inbox.send(message).await;
     }
 
-    /// Ends the control thread: nothing more reaches it.
+    /// Closes the inbox; the control thread ends once it has drained it.
     pub fn close(&self) {
         self.inbox.close();
     }
 
-    /// Reports what became of an attempt.
-    pub async fn attempt(&self, attempt: AttemptId, event: AttemptEvent) {
+    /// Reports the progress or end of an attempt.
+    pub async fn report_attempt(&self, attempt: AttemptId, event: AttemptEvent) {
         let event = Event::Attempt { attempt, event };
         self.send(ControlMessage::Event(event)).await;
     }
 
-    /// Reports what a target answered.
-    pub async fn target(&self, target: TargetName, event: TargetEvent) {
+    /// Reports a target's answer to a [`whinlatch_core::TargetCall`].
+    pub async fn report_target(&self, target: TargetName, event: TargetEvent) {
         let event = Event::Target { target, event };
         self.send(ControlMessage::Event(event)).await;
     }
 
-    /// Reports what the platform answered.
-    pub async fn platform(&self, event: PlatformEvent) {
+    /// Reports the result of a read of the platform.
+    pub async fn report_platform(&self, event: PlatformEvent) {
         self.send(ControlMessage::Event(Event::Platform(event)))
             .await;
     }
 
-    /// Reports how the home of a request's ticket answered.
-    pub async fn forward_ended(&self, request: RequestId, end: ForwardEnd) {
+    /// Reports whether the home of a request's ticket answered the forwarded request.
+    pub async fn report_forward_end(&self, request: RequestId, end: ForwardEnd) {
         let event = Event::ForwardEnded { request, end };
         self.send(ControlMessage::Event(event)).await;
     }
 
-    /// Reports that a caller went away.
-    pub async fn caller_gone(&self, request: RequestId) {
+    /// Reports that a caller disconnected before its answer was complete.
+    pub async fn report_caller_gone(&self, request: RequestId) {
         self.send(ControlMessage::Event(Event::CallerGone { request }))
             .await;
     }
 
-    /// Submits a request. What is decided about it comes from the receiver.
+    /// Submits a request and returns the channel on which its instructions arrive.
     pub async fn submit(&self, submission: Submission) -> Receiver<Box<Instruction>> {
-        let (instructions, decided) = async_channel::bounded(WAITING_INSTRUCTIONS);
+        let (instructions, received) = async_channel::bounded(INSTRUCTION_QUEUE_LEN);
         self.send(ControlMessage::Submit {
             submission: Box::new(submission),
             instructions,
         })
         .await;
-        decided
+        received
     }
 
-    /// The addresses that callers may use.
+    /// Returns the addresses that callers may use.
     ///
     /// # Errors
-    /// [`ControlGone`] if the daemon is ending.
-    pub async fn entries(&self) -> Result<Entries, ControlGone> {
+    /// [`ControlStopped`] if the daemon is shutting down.
+    pub async fn entries(&self) -> Result<Entries, ControlStopped> {
         self.query(Query::Entries).await
     }
 
-    /// The state of the daemon.
+    /// Returns the state of the daemon.
     ///
     /// # Errors
-    /// [`ControlGone`] if the daemon is ending.
-    pub async fn status(&self) -> Result<StatusReport, ControlGone> {
+    /// [`ControlStopped`] if the daemon is shutting down.
+    pub async fn status(&self) -> Result<StatusReport, ControlStopped> {
         self.query(Query::Status).await
     }
 
-    /// The records and where they are in force.
+    /// Returns the records and the daemons on which each is in force.
     ///
     /// # Errors
-    /// [`ControlGone`] if the daemon is ending.
-    pub async fn records(&self) -> Result<RecordsReport, ControlGone> {
+    /// [`ControlStopped`] if the daemon is shutting down.
+    pub async fn records(&self) -> Result<RecordsReport, ControlStopped> {
         self.query(Query::Records).await
     }
 
-    /// Why a request went where it did.
+    /// Returns the routing decisions of a request; `None` if they are no longer kept.
     ///
     /// # Errors
-    /// [`ControlGone`] if the daemon is ending.
+    /// [`ControlStopped`] if the daemon is shutting down.
     pub async fn decisions(
         &self,
         request: RequestId,
-    ) -> Result<Option<DecisionReport>, ControlGone> {
+    ) -> Result<Option<DecisionReport>, ControlStopped> {
         self.query(|reply| Query::Decisions(request, reply)).await
     }
 
-    async fn query<T>(&self, query: impl FnOnce(Sender<T>) -> Query) -> Result<T, ControlGone> {
+    async fn query<T>(&self, query: impl FnOnce(Sender<T>) -> Query) -> Result<T, ControlStopped> {
         let (reply, answer) = async_channel::bounded(1);
         self.send(ControlMessage::Query(query(reply))).await;
-        answer.recv().await.map_err(|_closed| ControlGone)
+        answer.recv().await.map_err(|_closed| ControlStopped)
     }
 }
--- a/crates/daemon/src/control/control_message.rs
+++ b/crates/daemon/src/control/control_message.rs
@@ -10,39 +10,39 @@
     },
 };
 
-/// What reaches the control thread.
+/// A message to the control thread.
 #[derive(Debug)]
 pub enum ControlMessage {
-    /// Something happened.
+    /// An event for the core.
     Event(Event),
-    /// A caller's request was read whole.
+    /// A caller's request has been read completely.
     Submit {
         /// The request.
         submission: Box<Submission>,
-        /// Where what is decided about it goes.
+        /// Receives the instructions for the request's task.
         instructions: Sender<Box<Instruction>>,
     },
-    /// A link to a proved peer is open.
+    /// A link to an authenticated peer has opened.
     LinkUp {
-        /// Names the link within this process.
+        /// The link's id within this process.
         link: LinkId,
-        /// What the peer said of itself.
+        /// The hello that the peer sent in the handshake.
         hello: Hello,
         /// The side that opened it.
         opened_by: Incarnation,
-        /// Where frames to the peer go; dropped to close the link.
+        /// Queue of frames to the peer; dropping it closes the link.
         frames: Sender<PeerFrame>,
     },
-    /// A link is closed.
+    /// A link has closed.
     LinkDown {
         /// The link.
         link: LinkId,
         /// The peer.
         peer: Incarnation,
-        /// Address of the peer.
+        /// The peer's address for links.
         address: SocketAddr,
     },
-    /// A frame came over a link.
+    /// A frame was received over a link.
     LinkFrame {
         /// The link.
         link: LinkId,
@@ -51,40 +51,40 @@
         /// The frame.
         frame: Box<PeerFrame>,
     },
-    /// Someone wants to know something.
+    /// A read of the core's state.
     Query(Query),
 }
 
-/// Names a link within this process.
+/// Id of a link, unique within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LinkId(pub u64);
 
-/// Reads something of the core. The answer goes to the sender.
+/// A read of the core's state; the result is sent to the variant's sender.
 #[derive(Debug)]
 pub enum Query {
     /// The addresses that callers may use.
     Entries(Sender<Entries>),
     /// The state of the daemon.
     Status(Sender<StatusReport>),
-    /// The records and where they are in force.
+    /// The records and the daemons on which each is in force.
     Records(Sender<RecordsReport>),
-    /// Why a request went where it did.
+    /// The routing decisions of a request; `None` if they are no longer kept.
     Decisions(RequestId, Sender<Option<DecisionReport>>),
 }
 
-/// What was decided about one request of a caller.
+/// An instruction of the control thread to the task of one request.
 #[derive(Debug)]
 pub enum Instruction {
     /// Send an attempt to a target.
     Dispatch(Box<Dispatch>),
     /// Stop reading an attempt's answer and close its connection.
     Abandon(AttemptId),
-    /// Pass the request on to the home of its ticket.
+    /// Forward the request to the home of its ticket.
     Forward {
         /// The home's address for callers.
         to: SocketAddr,
     },
-    /// Answer with what was kept of the ticket's run.
+    /// Answer with the stored result of the ticket's run.
     Replay {
         /// The ticket.
         ticket: Ticket,
--- a/crates/daemon/src/control/control_thread.rs
+++ b/crates/daemon/src/control/control_thread.rs
@@ -1,7 +1,7 @@
 use {
     super::{
         ControlMessage, Query,
-        hands::Hands,
+        action_executor::ActionExecutor,
         links::{OpenLink, OpenLinks},
         requests::Requests,
     },
@@ -16,38 +16,38 @@
 };
 
 /// Time between ticks of the core, in ms.
-const TICK_MS: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 
-/// What the control thread starts with.
+/// Start options of the control thread.
 #[derive(Debug)]
 pub struct ControlOptions {
-    /// What the daemon knows of itself.
+    /// Identity and addresses of this daemon.
     pub core: CoreOptions,
-    /// What the traffic shares.
+    /// State shared with the request tasks.
     pub shared: Arc<Shared>,
-    /// What reaches the thread.
+    /// Messages to the thread.
     pub inbox: Receiver<ControlMessage>,
     /// Log of decisions.
     pub log: DecisionLog,
-    /// Closed once nothing is in flight any more and the daemon may end.
+    /// Closed once no request is in flight and the daemon may exit.
     pub stopped: Sender<()>,
 }
 
-/// Owns the core.
+/// The thread that owns the core; see [`super`].
 #[derive(Debug)]
 pub struct ControlThread {
     core: Core,
-    hands: Hands,
+    executor: ActionExecutor,
     inbox: Receiver<ControlMessage>,
     stopped: Sender<()>,
     next_tick: MonoMs,
 }
 
 impl ControlThread {
-    /// Starts the thread. It ends when a [`super::ControlHandle`] closes the inbox.
+    /// Starts the thread. It ends after [`super::ControlHandle::close`].
     ///
     /// # Errors
-    /// [`DaemonError::Thread`] if there is no thread to be had.
+    /// [`DaemonError::Thread`] if the system can't start a thread.
     pub fn spawn(options: ControlOptions) -> Result<JoinHandle<()>, DaemonError> {
         thread::Builder::new()
             .name("control".to_owned())
@@ -59,7 +59,7 @@
         let now = options.shared.clock.now();
         Self {
             core: Core::new(now, options.core),
-            hands: Hands {
+            executor: ActionExecutor {
                 shared: options.shared,
                 requests: Requests::default(),
                 links: OpenLinks::default(),
@@ -74,13 +74,13 @@
 
     async fn run(mut self) {
         loop {
-            let clock = Arc::clone(&self.hands.shared.clock);
+            let clock = Arc::clone(&self.executor.shared.clock);
             if clock.now() >= self.next_tick {
                 self.tick(clock.now());
             }
             let wait_ms = self.next_tick.since(clock.now());
             match timeout(clock.as_ref(), wait_ms, self.inbox.recv()).await {
-                Some(Ok(message)) => self.take(message),
+                Some(Ok(message)) => self.on_message(message),
                 Some(Err(_closed)) => return,
                 None => {}
             }
@@ -88,21 +88,21 @@
     }
 
     fn tick(&mut self, now: MonoMs) {
-        self.next_tick = now + TICK_MS;
+        self.next_tick = now + TICK_INTERVAL_MS;
         self.handle(Event::Tick);
-        let links = self.hands.links.len();
-        self.hands.shared.metrics.set_peer_links(links);
+        let links = self.executor.links.len();
+        self.executor.shared.metrics.set_peer_links(links);
     }
 
-    fn take(&mut self, message: ControlMessage) {
+    fn on_message(&mut self, message: ControlMessage) {
         match message {
-            ControlMessage::Event(event) => self.take_event(event),
+            ControlMessage::Event(event) => self.on_event(event),
             ControlMessage::Submit {
                 submission,
                 instructions,
             } => {
                 let request = submission.request;
-                self.hands.requests.insert(request, instructions);
+                self.executor.requests.insert(request, instructions);
                 self.handle(Event::Submit(submission));
             }
             ControlMessage::LinkUp {
@@ -114,10 +114,10 @@
                 let opened = OpenLink {
                     id: link,
                     opened_by,
-                    since: self.hands.shared.clock.now(),
+                    opened_at: self.executor.shared.clock.now(),
                     frames,
                 };
-                if self.hands.links.insert(hello.incarnation, opened) {
+                if self.executor.links.insert(hello.incarnation, opened) {
                     self.handle(Event::PeerUp { hello });
                 }
             }
@@ -126,14 +126,14 @@
                 peer,
                 address,
             } => {
-                if self.hands.links.is_current(peer, link) {
-                    self.hands.links.remove(peer);
+                if self.executor.links.is_current(peer, link) {
+                    self.executor.links.remove(peer);
                     let peer = Some(peer);
                     self.handle(Event::PeerDown { address, peer });
                 }
             }
             ControlMessage::LinkFrame { link, peer, frame } => {
-                if self.hands.links.is_current(peer, link) {
+                if self.executor.links.is_current(peer, link) {
                     self.handle(Event::PeerFrame { from: peer, frame });
                 }
             }
@@ -141,8 +141,8 @@
         }
     }
 
-    fn take_event(&mut self, event: Event) {
-        let over = match &event {
+    fn on_event(&mut self, event: Event) {
+        let ended_request = match &event {
             Event::CallerGone { request }
             | Event::ForwardEnded {
                 request,
@@ -151,31 +151,31 @@
             _ => None,
         };
         self.handle(event);
-        if let Some(request) = over {
-            self.hands.requests.forget(request);
+        if let Some(request) = ended_request {
+            self.executor.requests.remove(request);
         }
     }
 
     fn handle(&mut self, event: Event) {
-        let shared = Arc::clone(&self.hands.shared);
-        let began_us = shared.clock.now_us();
+        let shared = Arc::clone(&self.executor.shared);
+        let started_us = shared.clock.now_us();
         let actions = self.core.handle(shared.clock.now(), event);
         for action in actions {
-            self.hands.carry_out(action);
+            self.executor.execute(action);
         }
-        let spent_us = shared.clock.now_us() - began_us;
-        shared.metrics.note_control_time(spent_us);
-        if self.hands.stopped {
+        let elapsed_us = shared.clock.now_us() - started_us;
+        shared.metrics.record_control_time(elapsed_us);
+        if self.executor.stopped {
             self.stopped.close();
         }
     }
 
-    /// A reader that went away has dropped its receiver; its answer is dropped with it.
+    /// Answers a query. If the reader has dropped its receiver, the answer is dropped.
     fn answer(&self, query: Query) {
         let _sent = match query {
             Query::Entries(reply) => reply.try_send(self.core.entries()).is_ok(),
             Query::Status(reply) => {
-                let now = self.hands.shared.clock.now();
+                let now = self.executor.shared.clock.now();
                 reply.try_send(self.core.status(now)).is_ok()
             }
             Query::Records(reply) => reply.try_send(self.core.records_report()).is_ok(),
--- a/crates/daemon/src/control/requests.rs
+++ b/crates/daemon/src/control/requests.rs
@@ -9,9 +9,9 @@
     },
 };
 
-/// The task of one request.
+/// Channel to the task of one request, and the attempts that were sent to it.
 #[derive(Debug)]
-struct Task {
+struct RequestTask {
     instructions: Sender<Box<Instruction>>,
     attempts: Vec<AttemptId>,
 }
@@ -19,21 +19,21 @@
 /// The tasks of the requests in flight.
 #[derive(Debug, Default)]
 pub struct Requests {
-    tasks: HashMap<RequestId, Task>,
+    tasks: HashMap<RequestId, RequestTask>,
     attempts: HashMap<AttemptId, RequestId>,
 }
 
 impl Requests {
-    /// Notes where the instructions of a request go.
+    /// Registers the channel to a request's task.
     pub fn insert(&mut self, request: RequestId, instructions: Sender<Box<Instruction>>) {
-        let task = Task {
+        let task = RequestTask {
             instructions,
             attempts: Vec::new(),
         };
         self.tasks.insert(request, task);
     }
 
-    /// Hands an attempt to the request's task.
+    /// Instructs the request's task to send an attempt.
     pub fn dispatch(&mut self, dispatch: Box<Dispatch>) {
         let request = dispatch.request;
         let Some(task) = self.tasks.get_mut(&request) else {
@@ -44,27 +44,27 @@
         self.instruct(request, Instruction::Dispatch(dispatch));
     }
 
-    /// Has an attempt given up.
+    /// Instructs the request's task to abandon an attempt.
     pub fn abandon(&mut self, attempt: AttemptId) {
         if let Some(request) = self.attempts.remove(&attempt) {
             self.instruct(request, Instruction::Abandon(attempt));
         }
     }
 
-    /// Ends a request with its final answer.
+    /// Sends a request its final outcome and removes it.
     pub fn finish(&mut self, outcome: Outcome) {
         let request = outcome.request;
-        self.hand_over(request, Instruction::Finish(outcome));
+        self.finish_with(request, Instruction::Finish(outcome));
     }
 
-    /// Gives a request its last instruction.
-    pub fn hand_over(&mut self, request: RequestId, instruction: Instruction) {
+    /// Sends a request its last instruction and removes it.
+    pub fn finish_with(&mut self, request: RequestId, instruction: Instruction) {
         self.instruct(request, instruction);
-        self.forget(request);
+        self.remove(request);
     }
 
-    /// Forgets a request.
-    pub fn forget(&mut self, request: RequestId) {
+    /// Removes a request and its attempts. Its task ends when the channel closes.
+    pub fn remove(&mut self, request: RequestId) {
         let Some(task) = self.tasks.remove(&request) else {
             return;
         };
@@ -73,15 +73,15 @@
         }
     }
 
-    /// Gives a request an instruction. The control thread never waits for
-    /// traffic: a task that is gone has dropped its receiver, and one whose queue were full would
-    /// lose its sender and answer `unknown`.
+    /// Sends a request's task an instruction without blocking the control thread. The request is
+    /// removed if its task has ended, or if the queue is full; in the second case the task sees
+    /// its channel close and answers `unknown`.
     pub fn instruct(&mut self, request: RequestId, instruction: Instruction) {
         let Some(task) = self.tasks.get(&request) else {
             return;
         };
         if task.instructions.try_send(Box::new(instruction)).is_err() {
-            self.forget(request);
+            self.remove(request);
         }
     }
 }
--- a/crates/daemon/src/entropy.rs
+++ b/crates/daemon/src/entropy.rs
@@ -1,15 +1,15 @@
-//! Random numbers that others can't guess: incarnations, request ids and nonces of peer links.
+//! Unpredictable random numbers for incarnations, request ids and nonces of peer links.
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 
-/// 128 bits that follow from the operating system's own random numbers. Each half is a keyed hash
-/// whose 128-bit key is the system's; `fastrand` alone has 64 bits of state, so that two daemons
-/// of a large fleet could draw the same incarnation.
+/// Returns 128 bits derived from random numbers of the operating system: each half is a keyed hash
+/// with a 128-bit key from the system. `fastrand` has only 64 bits of state, so two daemons of a
+/// large fleet could draw the same incarnation.
 pub fn random_u128() -> u128 {
     (u128::from(random_u64()) << u64::BITS) | u128::from(random_u64())
 }
 
-/// 64 bits of the same kind.
+/// Returns 64 bits derived in the same way.
 pub fn random_u64() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/crates/daemon/src/errors.rs
+++ b/crates/daemon/src/errors.rs
@@ -1,4 +1,4 @@
-//! Why a daemon doesn't start.
+//! Errors that prevent the daemon from starting.
 
 use {
     std::{io, net::SocketAddr, path::PathBuf},
@@ -7,60 +7,61 @@
     whinlatch_wire::conf::ConfFault,
 };
 
-/// Why a daemon doesn't start.
+/// Reason why the daemon couldn't start.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// Parts of the decisions are to be switched off that don't decide here.
-    #[error("--without is for the users' platform: leave it out, or give --platform")]
-    Without,
-    /// A port is given for counters that aren't served here.
-    #[error("--metrics-port is for the users' platform: leave it out, or give --platform")]
-    MetricsPort,
-    /// The settings can't be read.
+    /// `--without` was given without `--platform`; its mechanisms exist only there.
+    #[error("--without is only for the users' platform: leave it out, or give --platform")]
+    WithoutNeedsPlatform,
+    /// `--metrics-port` was given without `--platform`; metrics are served on the address for callers
+    /// otherwise.
+    #[error("--metrics-port is only for the users' platform: leave it out, or give --platform")]
+    MetricsPortNeedsPlatform,
+    /// The settings file can't be read.
     #[error("can't read the settings {path}: {source}: give a readable file with --settings")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the system.
         source: io::Error,
     },
-    /// The settings have faults.
-    #[error("{}", listed(path, faults))]
-    Faulty {
-        /// The file.
+    /// The settings file is invalid.
+    #[error("{}", fault_lines(path, faults))]
+    InvalidSettings {
+        /// Path of the file.
         path: PathBuf,
-        /// All faults, by line.
+        /// All faults of the file, in the order of their lines.
         faults: Vec<ConfFault>,
     },
-    /// The platform names no settings file.
+    /// The environment variable that names the settings file isn't set.
     #[error("the variable {0} isn't set: start the daemon on the platform, or with --settings")]
     NoSettings(&'static str),
-    /// The platform's settings have a fault.
+    /// The settings file of the platform is invalid.
     #[error(transparent)]
     PlatformSettings(#[from] SettingsFault),
-    /// An address can't be listened on.
+    /// The daemon can't listen on an address of its settings.
     #[error("can't listen on {address}: {source}: choose a free address of this instance")]
     Listen {
-        /// The address.
+        /// Address as configured.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the system.
         source: io::Error,
     },
-    /// A thread can't be started.
+    /// The system can't start another thread.
     #[error("can't start a thread: {0}: raise the limit of threads of this process")]
     Thread(io::Error),
-    /// Signals can't be taken.
-    #[error("can't take signals: {0}: start the daemon without a filter of signals")]
+    /// Signal handlers can't be installed.
+    #[error("can't handle signals: {0}: start the daemon without a filter of signals")]
     Signals(io::Error),
-    /// The logger can't be set up.
+    /// The process has a logger already.
     #[error("can't set up the log: {0}: start one daemon in a process")]
     Log(#[from] log::SetLoggerError),
-    /// The metrics can't be set up.
+    /// Two metrics have the same name, or one has an invalid name.
     #[error("can't set up the metrics: {0}: report this as a defect")]
     Metrics(#[from] prometheus::Error),
 }
 
-fn listed(path: &std::path::Path, faults: &[ConfFault]) -> String {
+fn fault_lines(path: &std::path::Path, faults: &[ConfFault]) -> String {
     let lines: Vec<String> = faults
         .iter()
         .map(|fault| format!("{}: {fault}", path.display()))
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The process around [`whinlatch_core::Core`]: it reports what happens to the core as events and
-//! carries out the actions that the core decides on.
+//! The process around [`whinlatch_core::Core`]: it feeds external events to the core and
+//! executes the actions that the core returns.
 //!
-//! One thread, see [`control`], owns the core and all control state. Traffic runs on the pool of
-//! async-std and speaks to that thread over bounded channels.
+//! One thread, see [`control`], owns the core and all control state. Requests run as tasks on
+//! the thread pool of async-std and communicate with that thread over bounded channels.
 
 pub mod app;
 pub mod callers;
--- a/crates/daemon/src/listen.rs
+++ b/crates/daemon/src/listen.rs
@@ -1,18 +1,18 @@
-//! Listening on an address of the settings.
+//! Opens the listening sockets of the settings.
 
 use {crate::errors::DaemonError, async_std::net::TcpListener, std::net::SocketAddr};
 
-/// Listens on an address. Port 0 stands for any free one and is replaced by it.
+/// Listens on an address. Port 0 selects a free port, which is written back to `address`.
 ///
 /// # Errors
-/// [`DaemonError::Listen`] if the address is taken or isn't this instance's.
+/// [`DaemonError::Listen`] if the address is in use or doesn't belong to this instance.
 pub async fn listen(address: &mut SocketAddr) -> Result<TcpListener, DaemonError> {
-    let wanted = *address;
+    let configured = *address;
     let failed = |source| DaemonError::Listen {
-        address: wanted,
+        address: configured,
         source,
     };
-    let listener = TcpListener::bind(wanted).await.map_err(failed)?;
+    let listener = TcpListener::bind(configured).await.map_err(failed)?;
     *address = listener.local_addr().map_err(failed)?;
     Ok(listener)
 }
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: a line for each decision, short, with the prefix of its part and the request's id.
+//! Logs: one short line for each decision, with the prefix of its subsystem and the request's id.
 
 mod decision_log;
 mod line_queue;
--- a/crates/daemon/src/logs/decision_log.rs
+++ b/crates/daemon/src/logs/decision_log.rs
@@ -5,7 +5,7 @@
     whinlatch_core::decisions::Decision,
 };
 
-/// The log of decisions, a short sentence each.
+/// The log of decisions, one short sentence each.
 #[derive(Debug)]
 pub struct DecisionLog {
     lines: LineQueue<Decision>,
@@ -16,16 +16,16 @@
     /// Starts the writing thread; it ends when the log is dropped.
     ///
     /// # Errors
-    /// [`DaemonError::Thread`] if there is no thread to be had.
+    /// [`DaemonError::Thread`] if the system can't start a thread.
     pub fn start(metrics: Arc<Metrics>) -> Result<Self, DaemonError> {
         let lines = LineQueue::start(write)?;
         Ok(Self { lines, metrics })
     }
 
-    /// Queues a line.
+    /// Queues a decision; counts it as dropped if the queue is full.
     pub fn write(&self, decision: Decision) {
         if !self.lines.push(decision) {
-            self.metrics.note_dropped_log_line();
+            self.metrics.record_dropped_log_line();
         }
     }
 }
--- a/crates/daemon/src/logs/line_queue.rs
+++ b/crates/daemon/src/logs/line_queue.rs
@@ -4,26 +4,26 @@
     std::thread,
 };
 
-/// Entries that may wait to be written.
-const WAITING: usize = 4_096;
+/// Entries queued for writing.
+const QUEUE_LEN: usize = 4_096;
 
-/// Entries of a log that are written by a thread of its own.
+/// A queue of log entries that a separate thread writes.
 ///
-/// Guards against a reader of standard output that stops reading: a write then blocks, and if those
-/// that decide wrote themselves, the whole daemon would stand still. Entries over the queue are
-/// dropped instead, and their owner counts them.
+/// Guards against a reader of standard output that stops reading: writes block then, and if the
+/// threads that make decisions wrote the log themselves, the whole daemon would hang. Entries that
+/// exceed the queue are dropped instead, and the caller of [`Self::push`] counts them.
 #[derive(Debug)]
 pub struct LineQueue<T> {
-    waiting: Sender<T>,
+    queue: Sender<T>,
 }
 
 impl<T: Send + 'static> LineQueue<T> {
     /// Starts the writing thread; it ends when the queue is dropped.
     ///
     /// # Errors
-    /// [`DaemonError::Thread`] if there is no thread to be had.
+    /// [`DaemonError::Thread`] if the system can't start a thread.
     pub fn start(write: fn(T)) -> Result<Self, DaemonError> {
-        let (waiting, entries): (Sender<T>, Receiver<T>) = async_channel::bounded(WAITING);
+        let (queue, entries): (Sender<T>, Receiver<T>) = async_channel::bounded(QUEUE_LEN);
         thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || {
@@ -32,11 +32,11 @@
                 }
             })
             .map_err(DaemonError::Thread)?;
-        Ok(Self { waiting })
+        Ok(Self { queue })
     }
 
     /// Queues an entry. Returns whether there was room.
     pub fn push(&self, entry: T) -> bool {
-        self.waiting.try_send(entry).is_ok()
+        self.queue.try_send(entry).is_ok()
     }
 }
--- a/crates/daemon/src/logs/setup.rs
+++ b/crates/daemon/src/logs/setup.rs
@@ -9,17 +9,17 @@
     whinlatch_wire::conf::{LogFormat, LogLevel, LogSettings},
 };
 
-/// Form of a line for people: time, severity, sentence.
+/// Pattern of a text line: time, severity, message.
 const TEXT_PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3f%z)} {l:<5} {m}{n}";
-/// Form of a line that is whole already.
+/// Pattern of a line that is already formatted.
 const LINE_PATTERN: &str = "{m}{n}";
-/// Name of the one appender.
+/// Name of the only appender.
 const APPENDER: &str = "stdout";
 
-/// Sends this process's log to standard output.
+/// Sets up the log of this process to standard output, with the format and level of the settings.
 ///
 /// # Errors
-/// The process has a logger already.
+/// [`DaemonError::Log`] if the process has a logger already.
 pub fn set_up(settings: &LogSettings) -> Result<(), DaemonError> {
     let encoder: Box<dyn Encode> = match settings.format {
         LogFormat::Text => Box::new(PatternEncoder::new(TEXT_PATTERN)),
@@ -34,10 +34,10 @@
     init(encoder, level)
 }
 
-/// Sends lines that are whole already to standard output.
+/// Sets up the log of this process to standard output for lines that are already formatted.
 ///
 /// # Errors
-/// The process has a logger already.
+/// [`DaemonError::Log`] if the process has a logger already.
 pub fn set_up_lines() -> Result<(), DaemonError> {
     init(
         Box::new(PatternEncoder::new(LINE_PATTERN)),
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon that callers ask and that passes their requests on to targets.
+//! Entry point of the daemon, which forwards callers' requests to targets.
 
 use std::process::ExitCode;
 
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted, in the form that Prometheus reads.
+//! Metrics in the Prometheus text format.
 
 mod daemon_metrics;
 
--- a/crates/daemon/src/metrics/daemon_metrics.rs
+++ b/crates/daemon/src/metrics/daemon_metrics.rs
@@ -9,18 +9,19 @@
     whinlatch_wire::caller::{OUTCOME_HEADER, Outcome, OutcomeKind, REASON_HEADER, Reason},
 };
 
-/// Buckets of durations of requests, in seconds: a short reply to a prompt of a million tokens.
+/// Histogram buckets of request durations, in seconds: from a short reply to the answer to a prompt
+/// of a million tokens.
 const DURATION_BUCKETS_S: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0, 120.0, 600.0,
 ];
-/// Label of an outcome or reason that the ticket's home didn't tell.
-const NOT_TOLD: &str = "not_told";
+/// Label for an outcome or reason that the answer of a ticket's home doesn't state.
+const NOT_STATED: &str = "not_told";
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 /// Microseconds in a second.
 const US_PER_S: f64 = 1_000_000.0;
 
-/// What a daemon counts.
+/// The metrics of a daemon.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -34,15 +35,15 @@
     peer_links: IntGauge,
     peers_turned_away: IntCounter,
     platform_reads: IntCounterVec,
-    control_s: prometheus::Counter,
+    control_seconds: prometheus::Counter,
     control_events: IntCounter,
 }
 
 impl Metrics {
-    /// Metrics that stand at zero.
+    /// Creates and registers the metrics, all at zero.
     ///
     /// # Errors
-    /// A name is taken twice.
+    /// Two metrics have the same name, or one has an invalid name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let metrics = Self {
             registry: Registry::new(),
@@ -86,7 +87,7 @@
                 Opts::new("whinlatch_platform_reads_total", "Reads of the platform."),
                 &["read", "result"],
             )?,
-            control_s: prometheus::Counter::new(
+            control_seconds: prometheus::Counter::new(
                 "whinlatch_control_seconds_total",
                 "Time that the control thread spent on events.",
             )?,
@@ -111,7 +112,7 @@
             Box::new(self.peer_links.clone()),
             Box::new(self.peers_turned_away.clone()),
             Box::new(self.platform_reads.clone()),
-            Box::new(self.control_s.clone()),
+            Box::new(self.control_seconds.clone()),
             Box::new(self.control_events.clone()),
         ];
         collectors
@@ -119,99 +120,100 @@
             .try_for_each(|collector| self.registry.register(collector))
     }
 
-    /// All metrics in the text form.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// A metric can't be written.
+    /// A metric can't be encoded.
     pub fn render(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
     }
 
-    /// Counts a request that ended after `ms`.
-    pub fn note_request(&self, outcome: &Outcome, ms: u64) {
+    /// Counts a request that ended `ms` after it was accepted.
+    pub fn record_request(&self, outcome: &Outcome, ms: u64) {
         let reason = reason_name(outcome.reason);
-        self.note(outcome.outcome.as_str(), &reason, ms);
+        self.record_end(outcome.outcome.as_str(), &reason, ms);
     }
 
-    /// Counts a request that ended after `ms` with the answer of its ticket's home.
-    pub fn note_passed(&self, answer: &Response, ms: u64) {
-        let outcome: Option<OutcomeKind> = known(answer, OUTCOME_HEADER);
-        let reason: Option<Reason> = known(answer, REASON_HEADER);
-        let outcome = outcome.map_or(NOT_TOLD, OutcomeKind::as_str);
-        let reason = reason.map_or_else(|| NOT_TOLD.to_owned(), reason_name);
-        self.note(outcome, &reason, ms);
+    /// Counts a forwarded request that ended with the answer of its ticket's home, `ms` after it was
+    /// accepted.
+    pub fn record_forwarded(&self, answer: &Response, ms: u64) {
+        let outcome: Option<OutcomeKind> = known_value(answer, OUTCOME_HEADER);
+        let reason: Option<Reason> = known_value(answer, REASON_HEADER);
+        let outcome = outcome.map_or(NOT_STATED, OutcomeKind::as_str);
+        let reason = reason.map_or_else(|| NOT_STATED.to_owned(), reason_name);
+        self.record_end(outcome, &reason, ms);
     }
 
-    fn note(&self, outcome: &str, reason: &str, ms: u64) {
+    fn record_end(&self, outcome: &str, reason: &str, ms: u64) {
         self.requests.with_label_values(&[outcome, reason]).inc();
         self.durations
             .with_label_values(&[outcome])
             .observe(ms as f64 / MS_PER_S);
     }
 
-    /// Notes the time to the first chunk of an answer.
-    pub fn note_first_token(&self, ms: u64) {
+    /// Records the time from a prompt to the first chunk of its answer.
+    pub fn record_first_token(&self, ms: u64) {
         self.first_tokens.observe(ms as f64 / MS_PER_S);
     }
 
-    /// Notes that a request came or went.
+    /// Adds to the number of requests in flight; negative for requests that ended.
     pub fn add_in_flight(&self, requests: i64) {
         self.in_flight.add(requests);
     }
 
-    /// Notes that a caller's connection was opened or closed.
+    /// Adds to the number of callers' open connections; negative for closed ones.
     pub fn add_connections(&self, connections: i64) {
         self.connections.add(connections);
     }
 
-    /// Counts a chunk that was not for its attempt.
-    pub fn note_dropped_chunk(&self) {
+    /// Counts a chunk or answer that didn't belong to its attempt or was out of order.
+    pub fn record_dropped_chunk(&self) {
         self.dropped_chunks.inc();
     }
 
-    /// Chunks dropped so far.
+    /// Returns the chunks and answers dropped so far.
     pub fn dropped_chunks(&self) -> u64 {
         self.dropped_chunks.get()
     }
 
-    /// Counts a decision that wasn't logged.
-    pub fn note_dropped_log_line(&self) {
+    /// Counts a decision that wasn't logged because the queue was full.
+    pub fn record_dropped_log_line(&self) {
         self.dropped_log_lines.inc();
     }
 
-    /// Notes how many links are open.
+    /// Sets the number of open links to peers.
     pub fn set_peer_links(&self, links: usize) {
         self.peer_links
             .set(i64::try_from(links).unwrap_or(i64::MAX));
     }
 
-    /// Counts a peer that was turned away.
-    pub fn note_peer_turned_away(&self) {
+    /// Counts a link that was refused in the handshake.
+    pub fn record_peer_turned_away(&self) {
         self.peers_turned_away.inc();
     }
 
-    /// Peers turned away so far.
+    /// Returns the number of links refused in the handshake so far.
     pub fn peers_turned_away(&self) -> u64 {
         self.peers_turned_away.get()
     }
 
-    /// Counts a read of the platform.
-    pub fn note_platform_read(&self, read: &str, result: &str) {
+    /// Counts a read of the platform by its kind and result.
+    pub fn record_platform_read(&self, read: &str, result: &str) {
         self.platform_reads.with_label_values(&[read, result]).inc();
     }
 
-    /// Notes time that the control thread spent on an event.
-    pub fn note_control_time(&self, us: u64) {
-        self.control_s.inc_by(us as f64 / US_PER_S);
+    /// Counts an event of the control thread and the time spent on it, in µs.
+    pub fn record_control_time(&self, us: u64) {
+        self.control_seconds.inc_by(us as f64 / US_PER_S);
         self.control_events.inc();
     }
 }
 
-/// Reads a header whose values are a closed set: whatever else another process writes there must
-/// not become a label, of which there would be no end.
-fn known<T: DeserializeOwned>(answer: &Response, header: &str) -> Option<T> {
+/// Parses a header whose values are a closed set. Any other value that another process sends must
+/// not become a label: the number of label values would be unbounded.
+fn known_value<T: DeserializeOwned>(answer: &Response, header: &str) -> Option<T> {
     let text = answer.header(header)?.last().as_str();
     serde_json::from_value(text.into()).ok()
 }
--- a/crates/daemon/src/peers.rs
+++ b/crates/daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! Links to other daemons: CBOR frames over websockets.
+//! Links to other daemons: CBOR frames over WebSocket connections.
 
 mod handshake;
 mod link;
--- a/crates/daemon/src/peers/handshake.rs
+++ b/crates/daemon/src/peers/handshake.rs
@@ -5,25 +5,25 @@
     whinlatch_wire::peer::{Hello, PEER_PROTOCOL, PeerFrame, prove, verify},
 };
 
-/// Why a link isn't opened.
+/// Reason why a link couldn't be opened.
 #[derive(Debug, Error)]
 pub enum HandshakeError {
-    /// The connection broke, or what came is no frame.
-    #[error("the link broke before both sides had proved themselves: see the peer's log")]
+    /// The connection broke, or the peer sent something other than a frame.
+    #[error("the link broke before the handshake was complete: see the peer's log")]
     Broken,
-    /// The peer begins with something else.
-    #[error("the peer begins with something else than a hello: run versions that fit each other")]
+    /// The peer's first frame isn't a hello.
+    #[error("the peer's first frame isn't a hello: run compatible versions")]
     NoHello,
-    /// The peer is this daemon itself.
+    /// The link leads back to this daemon.
     #[error("the peer is this daemon itself: take its own address out of `seed_peers`")]
     Itself,
-    /// The peer doesn't hold the key.
+    /// The peer's proof isn't valid for this daemon's key.
     #[error("the peer doesn't hold the key: set the same `peer_key` in all settings")]
     Unproved,
 }
 
-/// Says hello as the side that opened the link. This side proves itself first.
-pub async fn greet(
+/// Performs the handshake as the side that opened the link, which sends its proof first.
+pub async fn initiate(
     shared: &Shared,
     sender: &mut LinkSender,
     receiver: &mut LinkReceiver,
@@ -35,9 +35,10 @@
     Ok(theirs)
 }
 
-/// Answers a hello as the side that was called. It proves itself only to a peer that has done so:
-/// else anyone could have it sign a nonce of another daemon and pass for it there.
-pub async fn welcome(
+/// Performs the handshake as the side that accepted the link. It sends its proof only after the
+/// peer's has been verified: otherwise anyone could have it sign another daemon's nonce and
+/// impersonate it there.
+pub async fn respond(
     shared: &Shared,
     sender: &mut LinkSender,
     receiver: &mut LinkReceiver,
@@ -109,10 +110,10 @@
         .await
         .map_err(|_broken| HandshakeError::Broken)?;
     let key = shared.settings.peer_key.as_bytes();
-    let proved = frame
+    let is_valid = frame
         .proof
         .is_some_and(|proof| verify(key, own.nonce, theirs.incarnation, &proof));
-    if proved {
+    if is_valid {
         Ok(())
     } else {
         Err(HandshakeError::Unproved)
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -1,6 +1,6 @@
 use {
     super::{
-        handshake::{HandshakeError, greet, welcome},
+        handshake::{HandshakeError, initiate, respond},
         outgoing::{LinkReceiver, LinkSender, link_config, receive_frame, send_frame},
     },
     crate::{
@@ -21,16 +21,16 @@
     },
 };
 
-/// Time for both sides to prove themselves, in ms.
+/// Time for a connection and its handshake, in ms.
 const HANDSHAKE_TIMEOUT_MS: u64 = 3_000;
-/// Silence after which a link is closed, in ms: six heartbeats.
-const SILENCE_MS: u64 = 3_000;
-/// Time for a peer to take a frame, in ms.
+/// Time without a frame after which a link is closed, in ms: six heartbeat intervals.
+const RECEIVE_TIMEOUT_MS: u64 = 3_000;
+/// Time for a frame to be written, in ms.
 const SEND_TIMEOUT_MS: u64 = 3_000;
-/// Frames that may wait for a slow peer.
-const WAITING_FRAMES: usize = 256;
+/// Frames queued for a slow peer.
+const FRAME_QUEUE_LEN: usize = 256;
 
-/// Opens a link and keeps it until it closes.
+/// Opens a link and runs it until it closes.
 pub async fn open_link(shared: Arc<Shared>, address: SocketAddr) {
     let opened = timeout(
         shared.clock.as_ref(),
@@ -40,10 +40,10 @@
     match opened.await.unwrap_or(Err(HandshakeError::Broken)) {
         Ok((hello, halves)) => {
             let opened_by = shared.incarnation;
-            keep(&shared, hello, halves, (address, opened_by)).await;
+            run(&shared, hello, halves, (address, opened_by)).await;
         }
         Err(error) => {
-            turned_away(&shared, &error, address);
+            report_failure(&shared, &error, address);
             let event = Event::PeerDown {
                 address,
                 peer: None,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Answers a peer that opened a link, and keeps the link until it closes.
+/// Accepts a link that a peer opened, and runs it until it closes.
 pub async fn accept_link(shared: Arc<Shared>, stream: GuardedStream, from: SocketAddr) {
     let accepted = timeout(
         shared.clock.as_ref(),
@@ -63,9 +63,9 @@
     match accepted.await.unwrap_or(Err(HandshakeError::Broken)) {
         Ok((hello, halves)) => {
             let opened = (hello.peer_address, hello.incarnation);
-            keep(&shared, hello, halves, opened).await;
+            run(&shared, hello, halves, opened).await;
         }
-        Err(error) => turned_away(&shared, &error, from),
+        Err(error) => report_failure(&shared, &error, from),
     }
 }
 
@@ -82,7 +82,7 @@
         return Err(broken);
     };
     let (mut sender, mut receiver) = socket.split();
-    let hello = greet(shared, &mut sender, &mut receiver).await?;
+    let hello = initiate(shared, &mut sender, &mut receiver).await?;
     Ok((hello, (sender, receiver)))
 }
 
@@ -91,21 +91,22 @@
         return Err(HandshakeError::Broken);
     };
     let (mut sender, mut receiver) = socket.split();
-    let hello = welcome(shared, &mut sender, &mut receiver).await?;
+    let hello = respond(shared, &mut sender, &mut receiver).await?;
     Ok((hello, (sender, receiver)))
 }
 
-fn turned_away(shared: &Shared, error: &HandshakeError, address: SocketAddr) {
+fn report_failure(shared: &Shared, error: &HandshakeError, address: SocketAddr) {
     match error {
         HandshakeError::Broken => log::debug!("peers: no link to {address}: {error}"),
         HandshakeError::NoHello | HandshakeError::Itself | HandshakeError::Unproved => {
-            shared.metrics.note_peer_turned_away();
-            log::warn!("peers: {address} is turned away: {error}");
+            shared.metrics.record_peer_turned_away();
+            log::warn!("peers: link with {address} refused: {error}");
         }
     }
 }
 
-async fn keep(
+/// Reports a link to the control thread, transfers its frames until it closes, and reports its end.
+async fn run(
     shared: &Shared,
     hello: Hello,
     halves: Halves,
@@ -113,7 +114,7 @@
 ) {
     let link = LinkId(random_u64());
     let peer = hello.incarnation;
-    let (frames, queue) = async_channel::bounded(WAITING_FRAMES);
+    let (frames, queue) = async_channel::bounded(FRAME_QUEUE_LEN);
     let up = ControlMessage::LinkUp {
         link,
         hello,
@@ -136,7 +137,7 @@
     shared.control.send(down).await;
 }
 
-/// Ends when the control thread closes the link, or the peer takes a frame too slowly.
+/// Writes queued frames until the control thread closes the link or a write times out.
 async fn write_frames(shared: &Shared, mut sender: LinkSender, frames: Receiver<PeerFrame>) {
     while let Ok(frame) = frames.recv().await {
         let sent = send_frame(&mut sender, frame);
@@ -148,12 +149,14 @@
     }
 }
 
+/// Reads frames until the link fails or stays silent.
+///
 /// Guards against a link that goes silent for good while it stays open, and against a peer that
-/// stands still: heartbeats come both ways, and without a frame for some time the link is closed.
+/// hangs: both sides send heartbeats, so a link without a frame for [`RECEIVE_TIMEOUT_MS`] is closed.
 async fn read_frames(shared: &Shared, mut receiver: LinkReceiver, link: LinkId, peer: Incarnation) {
     loop {
         let next = receive_frame(&mut receiver);
-        let frame = match timeout(shared.clock.as_ref(), SILENCE_MS, next).await {
+        let frame = match timeout(shared.clock.as_ref(), RECEIVE_TIMEOUT_MS, next).await {
             Some(Ok(frame)) => Box::new(frame),
             Some(Err(error)) => return log::debug!("peers: {error}"),
             None => return,
--- a/crates/daemon/src/peers/listener.rs
+++ b/crates/daemon/src/peers/listener.rs
@@ -5,20 +5,20 @@
     std::sync::Arc,
 };
 
-/// Connections to the address for peers that may be open at once, proved or not.
+/// Largest number of open connections to the address for peers, authenticated or not.
 const MAX_CONNECTIONS: usize = 1_024;
-/// Time to wait after an accept that failed, in ms.
+/// Wait after a failed accept, in ms; the process is out of file descriptors then.
 const ACCEPT_RETRY_MS: u64 = 20;
 
-/// Accepts links until the future is dropped.
+/// Accepts links until the future is dropped. Connections over the limit are closed.
 pub async fn serve(shared: Arc<Shared>, listener: TcpListener) {
-    let places = Arc::new(());
+    let open = Arc::new(());
     loop {
         match listener.accept().await {
             Ok((stream, from)) => {
-                // Each connection holds a copy; the one here is not counted.
-                let place = Arc::clone(&places);
-                if Arc::strong_count(&places) - 1 > MAX_CONNECTIONS {
+                // Each connection holds a clone; the one of this function is not counted.
+                let guard = Arc::clone(&open);
+                if Arc::strong_count(&open) - 1 > MAX_CONNECTIONS {
                     continue;
                 }
                 let Ok(stream) = GuardedStream::new(stream) else {
@@ -27,7 +27,7 @@
                 let shared = Arc::clone(&shared);
                 task::spawn(async move {
                     accept_link(shared, stream, from).await;
-                    drop(place);
+                    drop(guard);
                 });
             }
             Err(_out_of_descriptors) => shared.clock.sleep(ACCEPT_RETRY_MS).await,
--- a/crates/daemon/src/peers/outgoing.rs
+++ b/crates/daemon/src/peers/outgoing.rs
@@ -19,28 +19,28 @@
 /// The receiving half of a link.
 pub type LinkReceiver = SplitStream<WebSocketStream<GuardedStream>>;
 
-/// Why a link carries no more frames.
+/// Reason why a link can't carry more frames.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// The peer closed it.
+    /// The peer closed the link.
     #[error("the peer closed the link: see its log")]
     Closed,
-    /// The websocket failed.
-    #[error("the link failed ({0}): it is opened anew")]
+    /// The WebSocket connection failed.
+    #[error("the link failed ({0}): it is opened again")]
     Failed(#[from] Box<async_tungstenite::tungstenite::Error>),
     /// A frame can't be encoded or decoded.
     #[error(transparent)]
     Codec(#[from] PeerCodecError),
 }
 
-/// Bounds of what a peer may send at once.
+/// Returns the WebSocket settings, which limit the size of a peer's frames.
 pub fn link_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .max_message_size(Some(MAX_FRAME_BYTES))
         .max_frame_size(Some(MAX_FRAME_BYTES))
 }
 
-/// Sends a frame. Records that are too many for one frame go in several.
+/// Sends a frame. Records that don't fit into one frame are sent in several.
 pub async fn send_frame(sender: &mut LinkSender, frame: PeerFrame) -> Result<(), LinkError> {
     for bytes in encode_split(frame)? {
         send_bytes(sender, bytes).await?;
@@ -48,23 +48,24 @@
     Ok(())
 }
 
-/// Encodes a frame as one, or as several where its records are too many.
+/// Encodes a frame, split into several if its records don't fit into one. Fails if a single record
+/// or the rest of the frame is too large.
 pub fn encode_split(frame: PeerFrame) -> Result<Vec<Vec<u8>>, PeerCodecError> {
     let mut encoded = Vec::new();
-    let mut waiting = vec![frame];
-    while let Some(mut frame) = waiting.pop() {
+    let mut pending = vec![frame];
+    while let Some(mut frame) = pending.pop() {
         match encode_frame(&frame) {
             Ok(bytes) => encoded.push(bytes),
             Err(PeerCodecError::TooLarge { .. }) if frame.records.len() > 1 => {
                 let half = frame.records.len() / 2;
-                // Only the last frame may say that nothing more follows.
+                // Only the last frame may be marked as the end of a pull.
                 let rest = PeerFrame {
                     records: frame.records.split_off(half),
                     pull_done: std::mem::take(&mut frame.pull_done),
                     ..PeerFrame::default()
                 };
-                waiting.push(rest);
-                waiting.push(frame);
+                pending.push(rest);
+                pending.push(frame);
             }
             Err(error) => return Err(error),
         }
@@ -90,7 +91,7 @@
         match message {
             Message::Binary(bytes) => return Ok(decode_frame(&bytes)?),
             Message::Close(_) => return Err(LinkError::Closed),
-            // Pings are answered by the library; text is no part of the protocol.
+            // The library answers pings; the protocol has no text messages.
             Message::Text(_) | Message::Ping(_) | Message::Pong(_) | Message::Frame(_) => {}
         }
     }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform, each at the core's word.
+//! Reads of the platform service, each requested by an action of the core.
 
 mod reads;
 
--- a/crates/daemon/src/shared.rs
+++ b/crates/daemon/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the traffic of one daemon shares.
+//! State shared by the tasks of one daemon.
 
 use {
     crate::{
@@ -11,20 +11,20 @@
     whinlatch_wire::{conf::Settings, ids::Incarnation},
 };
 
-/// What the traffic of one daemon shares.
+/// State shared by the tasks of one daemon.
 #[derive(Debug)]
 pub struct Shared {
     /// The settings, with the bound addresses in place of those with port 0.
     pub settings: Settings,
-    /// This run of the daemon.
+    /// Identifies this run of the daemon; random.
     pub incarnation: Incarnation,
-    /// The clock.
+    /// Clock of all tasks; tests pause it.
     pub clock: Arc<dyn Clock>,
-    /// The way to the control thread.
+    /// Sends messages to the control thread.
     pub control: ControlHandle,
-    /// Metrics.
+    /// Counters and gauges that operators read.
     pub metrics: Arc<Metrics>,
-    /// Answers kept under their tickets.
+    /// Answers of plain services, stored by ticket.
     pub answers: AnswerStore,
     /// Requests whose answers aren't written yet.
     pub open_requests: OpenRequests,
--- a/crates/daemon/src/targets.rs
+++ b/crates/daemon/src/targets.rs
@@ -1,4 +1,5 @@
-//! Calls to targets: attempts whose answers are passed on, and calls on the target's own matters.
+//! Calls to targets: attempts, whose answers are passed to callers, and control calls such as reports,
+//! orders and reservations.
 
 mod attempt;
 mod calls;
--- a/crates/daemon/src/targets/attempt.rs
+++ b/crates/daemon/src/targets/attempt.rs
@@ -1,5 +1,5 @@
 use {
-    super::{generate, liveness::Lost, service_call},
+    super::{generate, liveness::ConnectionLost, service_call},
     crate::shared::Shared,
     async_channel::Sender,
     futures::{
@@ -17,46 +17,46 @@
     },
 };
 
-/// Steps that may wait to be taken, so that a slow caller slows its target down.
-const WAITING_STEPS: usize = 8;
-/// Largest refusal, in bytes.
+/// Steps queued for the exchange. The queue is short, so that a slow caller slows its target down.
+const STEP_QUEUE_LEN: usize = 8;
+/// Largest refusal of a target that is read, in bytes.
 const MAX_REFUSAL_BYTES: u64 = 65_536;
 
-/// What a target is asked for.
+/// The work of a request, as it is sent to a target.
 #[derive(Debug)]
 pub enum AttemptWork {
-    /// A prompt.
+    /// A prompt for an engine.
     Prompt {
-        /// The caller's body.
+        /// The caller's request.
         completion: CompletionRequest,
-        /// Tokens of the prompt.
+        /// Estimated tokens of the prompt.
         prompt_tokens: u64,
-        /// Hashes of the prompt's prefixes.
+        /// Hashes of the prompt's prefixes, the shortest first.
         prefix_hashes: Vec<u64>,
     },
     /// A call of a plain service.
     Call {
         /// The service.
         service: ServiceName,
-        /// Client account that calls.
+        /// Client account of the caller.
         account: AccountName,
-        /// The caller's body.
+        /// The caller's request body.
         body: String,
     },
 }
 
-/// Something that came of an attempt.
+/// A part of an attempt's answer, or its end.
 #[derive(Debug)]
 pub enum Step {
     /// The next chunk of the answer.
     Chunk(StreamChunk),
-    /// The whole answer of a plain service.
+    /// The complete answer of a plain service.
     Answer(ServiceAnswer),
-    /// The attempt ended without a whole answer.
+    /// The attempt ended without a complete answer.
     Ended(AttemptEvent),
 }
 
-/// An attempt at a target. Dropped, it closes its connection.
+/// An attempt at a target. Dropping it closes its connection.
 pub struct Attempt {
     id: AttemptId,
     steps: BoxStream<'static, Step>,
@@ -71,29 +71,29 @@
 }
 
 impl Attempt {
-    /// Begins an attempt. Of a prompt's answer, chunks from `first_chunk` on are wanted.
-    pub fn begin(
+    /// Starts an attempt. A prompt's answer is requested from chunk `first_chunk` on.
+    pub fn start(
         shared: Arc<Shared>,
         dispatch: Arc<Dispatch>,
         work: Arc<AttemptWork>,
         first_chunk: u64,
     ) -> Self {
         let id = dispatch.attempt;
-        let (steps, taken) = async_channel::bounded(WAITING_STEPS);
+        let (steps, received) = async_channel::bounded(STEP_QUEUE_LEN);
         let run = run(shared, dispatch, work, first_chunk, steps);
         let run = stream::once(run).filter_map(|()| futures::future::ready(None));
         Self {
             id,
-            steps: stream::select(run, taken).boxed(),
+            steps: stream::select(run, received).boxed(),
         }
     }
 
-    /// The attempt.
+    /// Returns the attempt's id.
     pub fn id(&self) -> AttemptId {
         self.id
     }
 
-    /// The next step; `None` after the last.
+    /// Waits for the next step; `None` after the last.
     pub async fn next(&mut self) -> Option<Step> {
         self.steps.next().await
     }
@@ -123,16 +123,16 @@
     }
 }
 
-/// What became of an attempt whose connection was lost after `chunks` chunks.
-pub fn lost_event(lost: Lost, chunks: u64) -> AttemptEvent {
+/// Returns the event for an attempt whose connection was lost after `chunks` chunks.
+pub fn lost_event(lost: ConnectionLost, chunks: u64) -> AttemptEvent {
     match lost {
-        Lost::Silent => AttemptEvent::Silent { chunks },
-        Lost::Broken => AttemptEvent::Broken { chunks },
+        ConnectionLost::TargetSilent => AttemptEvent::Silent { chunks },
+        ConnectionLost::Broken => AttemptEvent::Broken { chunks },
     }
 }
 
-/// What became of an attempt that was answered with another status than 200. Only the target's
-/// own refusal of this very attempt says that it wasn't run.
+/// Returns the event for an attempt that was answered with another status than 200. Only a refusal
+/// that names this attempt proves that it wasn't run.
 pub async fn refused_event(attempt: AttemptId, mut response: Response) -> AttemptEvent {
     let status = super::json_call::status_of(&response);
     let Ok(body) = super::read_body(&mut response, MAX_REFUSAL_BYTES).await else {
--- a/crates/daemon/src/targets/calls.rs
+++ b/crates/daemon/src/targets/calls.rs
@@ -13,19 +13,20 @@
     },
 };
 
-/// Time for an answer, in ms.
+/// Time for a control call to be answered, in ms.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-/// Largest answer to a read, in bytes.
+/// Largest answer to a read of reports, states or cache events, in bytes.
 const MAX_READ_BYTES: u64 = 16 * 1_048_576;
-/// Times that a cancel or release is sent until it is answered. Both are idempotent. The target's
-/// own deadline frees what these couldn't.
-const FREE_ATTEMPTS: u32 = 5;
-/// Time between two of them, in ms.
-const FREE_RETRY_MS: u64 = 500;
+/// Times that a cancel or release is sent until it succeeds. Both are idempotent. If all fail, the
+/// target frees the resources at its own deadline.
+const MAX_FREE_ATTEMPTS: u32 = 5;
+/// Time between two of these attempts, in ms.
+const FREE_RETRY_INTERVAL_MS: u64 = 500;
 /// HTTP statuses of success.
 const SUCCESS: std::ops::Range<u16> = 200..300;
 
-/// Calls a target on a matter of its own and reports its answer.
+/// Makes a control call to a target and reports its answer to the control thread. Cancels and
+/// releases report nothing, nor does an order without an answer.
 pub async fn call(shared: Arc<Shared>, target: TargetName, address: SocketAddr, call: TargetCall) {
     let event = match call {
         TargetCall::Report => read(&shared, address, REPORT_PATH, TargetEvent::Report).await,
@@ -35,7 +36,7 @@
             read(&shared, address, &path, TargetEvent::Cache).await
         }
         TargetCall::Order { order, send_before } => {
-            match give_order(&shared, address, &order, send_before).await {
+            match send_order(&shared, address, &order, send_before).await {
                 Some(event) => event,
                 None => return,
             }
@@ -45,11 +46,13 @@
             send_before,
         } => reserve(&shared, address, &request, send_before).await,
         TargetCall::Release(release) => {
-            return free(&shared, address, RELEASE_PATH, &release).await;
+            return send_until_done(&shared, address, RELEASE_PATH, &release).await;
+        }
+        TargetCall::Cancel(cancel) => {
+            return send_until_done(&shared, address, CANCEL_PATH, &cancel).await;
         }
-        TargetCall::Cancel(cancel) => return free(&shared, address, CANCEL_PATH, &cancel).await,
     };
-    shared.control.target(target, event).await;
+    shared.control.report_target(target, event).await;
 }
 
 async fn read<T: serde::de::DeserializeOwned>(
@@ -63,8 +66,8 @@
         .map_or(TargetEvent::Unreachable, event)
 }
 
-/// An order without an answer reports nothing: the target's state is read again in any case.
-async fn give_order(
+/// Sends an order. Without an answer there is no event: the target's state is read again anyway.
+async fn send_order(
     shared: &Shared,
     address: SocketAddr,
     order: &Order,
@@ -99,21 +102,24 @@
     );
     match posted.await {
         Ok(answer) if SUCCESS.contains(&answer.status) => TargetEvent::Reserved(reservation),
-        Ok(answer) if refuses(&answer, reservation) => TargetEvent::ReserveRefused(reservation),
+        Ok(answer) if is_refusal_of(&answer, reservation) => {
+            TargetEvent::ReserveRefused(reservation)
+        }
         Err(CallError::NotSent) => TargetEvent::ReserveRefused(reservation),
-        // A failure without a refusal says nothing of what is held.
+        // A failure without a refusal doesn't tell whether the memory is reserved.
         Ok(_) | Err(_) => TargetEvent::ReserveLost(reservation),
     }
 }
 
-fn refuses(answer: &WholeAnswer, reservation: AttemptId) -> bool {
+fn is_refusal_of(answer: &WholeAnswer, reservation: AttemptId) -> bool {
     answer
         .json::<Refusal>()
         .is_ok_and(|refusal| refusal.attempt == reservation)
 }
 
-async fn free<T: Serialize>(shared: &Shared, address: SocketAddr, path: &str, body: &T) {
-    for _attempt in 0..FREE_ATTEMPTS {
+/// Sends a cancel or release, and sends it again until it succeeds or the attempts are used up.
+async fn send_until_done<T: Serialize>(shared: &Shared, address: SocketAddr, path: &str, body: &T) {
+    for _attempt in 0..MAX_FREE_ATTEMPTS {
         let send_before = shared.clock.now() + CALL_TIMEOUT_MS;
         let posted = post_json(shared, address, path, body, send_before, CALL_TIMEOUT_MS);
         if posted
@@ -122,6 +128,6 @@
         {
             return;
         }
-        shared.clock.sleep(FREE_RETRY_MS).await;
+        shared.clock.sleep(FREE_RETRY_INTERVAL_MS).await;
     }
 }
--- a/crates/daemon/src/targets/connect.rs
+++ b/crates/daemon/src/targets/connect.rs
@@ -12,51 +12,53 @@
     },
 };
 
-/// Time for a connection to open, in ms.
+/// Time for a connection to be established, in ms.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Silence after which the system asks whether the other end is there.
+/// Idle time after which the system sends the first TCP keepalive probe.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(5);
-/// Time between such questions.
+/// Time between two keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Questions without an answer after which the connection is broken.
+/// Unanswered keepalive probes after which the connection is broken.
 const KEEPALIVE_RETRIES: u32 = 3;
-/// Time that bytes written to a target or peer may stay without an acknowledgement.
+/// Time for which bytes sent to a target or peer may stay unacknowledged before the connection is
+/// broken (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Opens a connection.
+/// Opens a connection with the usual timeouts.
 ///
 /// # Errors
-/// It is refused or takes too long.
+/// The connection is refused or not established within `CONNECT_TIMEOUT_MS`.
 pub async fn connect(clock: &dyn Clock, address: SocketAddr) -> io::Result<GuardedStream> {
     connect_within(clock, address, CONNECT_TIMEOUT_MS, USER_TIMEOUT).await
 }
 
-/// Opens a connection within `within_ms`. Written bytes may stay without an acknowledgement for
-/// `unacknowledged`.
+/// Opens a connection within `timeout_ms`. Sent bytes may stay unacknowledged for `user_timeout`.
 ///
 /// # Errors
-/// It is refused or takes too long.
+/// The connection is refused or not established within `timeout_ms`.
 pub async fn connect_within(
     clock: &dyn Clock,
     address: SocketAddr,
-    within_ms: u64,
-    unacknowledged: Duration,
+    timeout_ms: u64,
+    user_timeout: Duration,
 ) -> io::Result<GuardedStream> {
-    let stream = timeout(clock, within_ms, TcpStream::connect(address))
+    let stream = timeout(clock, timeout_ms, TcpStream::connect(address))
         .await
         .ok_or(io::ErrorKind::TimedOut)??;
     let guarded = GuardedStream(stream);
-    set_options(&guarded.0, unacknowledged)?;
+    set_options(&guarded.0, user_timeout)?;
     Ok(guarded)
 }
 
-/// Guards against a connection that something between the two ends has lost track of: it stays
-/// open and silent. The system's own questions go unanswered then, and reads end with an error;
-/// written bytes stay without an acknowledgement, and after `unacknowledged` so do writes.
+/// Sets the socket options of a connection.
+///
+/// Guards against a connection that a device between the two ends has dropped from its tables: it
+/// stays open and silent. Keepalive probes go unanswered then, and reads fail; sent bytes stay
+/// unacknowledged, and after `user_timeout` writes fail too.
 ///
 /// # Errors
-/// The system refuses an option.
-pub fn set_options(stream: &TcpStream, unacknowledged: Duration) -> io::Result<()> {
+/// The system rejects an option.
+pub fn set_options(stream: &TcpStream, user_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -64,23 +66,23 @@
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(unacknowledged))
+    socket.set_tcp_user_timeout(Some(user_timeout))
 }
 
-/// A connection that is shut down when it is dropped, whoever else holds a copy of it.
+/// A connection that is shut down when it is dropped, even if other handles to it remain.
 #[derive(Debug)]
 pub struct GuardedStream(TcpStream);
 
 impl GuardedStream {
-    /// The connection itself.
+    /// Returns the wrapped connection.
     pub fn inner(&self) -> &TcpStream {
         &self.0
     }
 
-    /// Guards a connection and sets its options.
+    /// Wraps a connection and sets its options.
     ///
     /// # Errors
-    /// The system refuses an option.
+    /// The system rejects an option.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         let stream = Self(stream);
         set_options(&stream.0, USER_TIMEOUT)?;
@@ -90,7 +92,7 @@
 
 impl Drop for GuardedStream {
     fn drop(&mut self) {
-        // It fails only on a connection that is closed already.
+        // This fails only on a connection that is closed already.
         let _closed = self.0.shutdown(Shutdown::Both);
     }
 }
--- a/crates/daemon/src/targets/event_reader.rs
+++ b/crates/daemon/src/targets/event_reader.rs
@@ -3,9 +3,9 @@
     std::io,
 };
 
-/// Largest line of a stream, in bytes.
+/// Longest line of a stream, in bytes.
 const MAX_LINE_BYTES: u64 = 1_048_576;
-/// Name of the field that carries an event's data.
+/// Prefix of a line that carries an event's data.
 const DATA: &[u8] = b"data:";
 
 /// Reads server-sent events.
@@ -16,7 +16,7 @@
 }
 
 impl<R: AsyncBufRead + Unpin> EventReader<R> {
-    /// Reads events from `reader`.
+    /// Creates a reader of the events in `reader`.
     pub fn new(reader: R) -> Self {
         Self {
             reader,
@@ -24,7 +24,8 @@
         }
     }
 
-    /// The data of the next event, each on one line; `None` at the end of the stream.
+    /// Reads the data of the next event; `None` at the end of the stream. Each event must have its
+    /// data on one line. Fails if the stream ends within a line or a line is too long.
     pub async fn next(&mut self) -> io::Result<Option<&[u8]>> {
         loop {
             self.line.clear();
--- a/crates/daemon/src/targets/gate.rs
+++ b/crates/daemon/src/targets/gate.rs
@@ -14,11 +14,12 @@
     whinlatch_core::MonoMs,
 };
 
-/// Lets the first byte of a dispatch through only until a moment, and tells whether it passed.
+/// Rejects the first write of a dispatch after its `send_before`, and records whether any byte may
+/// have been sent.
 ///
-/// Guards against a process that is paused between a decision and its execution: it wakes up late
-/// and would send what was decided on an old view, maybe past the deadline. The clock is read where
-/// the byte is written, so that no pause fits in before.
+/// Guards against a process that is paused between a decision and its execution: after it resumes,
+/// it would send a dispatch that was decided on outdated state, possibly past the deadline. The
+/// clock is read immediately before the write, so that no other step can be delayed in between.
 #[derive(Debug, Clone)]
 pub struct Gate {
     clock: Arc<dyn Clock>,
@@ -27,7 +28,7 @@
 }
 
 impl Gate {
-    /// A gate that closes at `send_before`.
+    /// Creates a gate that closes after `send_before`.
     pub fn new(clock: Arc<dyn Clock>, send_before: MonoMs) -> Self {
         Self {
             clock,
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Whether a byte may have been written.
-    pub fn passed(&self) -> bool {
+    /// Returns whether a byte may have been sent.
+    pub fn may_have_sent(&self) -> bool {
         self.written.load(Ordering::SeqCst)
     }
 
-    /// Puts the gate before a connection.
+    /// Wraps a connection, whose writes are checked from then on.
     pub fn guard(&self, stream: GuardedStream) -> GatedStream {
         GatedStream {
             gate: self.clone(),
@@ -49,12 +50,12 @@
         }
     }
 
-    fn pass(&self) -> io::Result<()> {
-        if self.passed() {
+    fn check(&self) -> io::Result<()> {
+        if self.may_have_sent() {
             return Ok(());
         }
         if self.clock.now() > self.send_before {
-            let message = "the dispatch has gone stale: decide anew";
+            let message = "the time to send this dispatch has passed: decide again";
             return Err(io::Error::new(io::ErrorKind::TimedOut, message));
         }
         self.written.store(true, Ordering::SeqCst);
@@ -62,7 +63,7 @@
     }
 }
 
-/// A connection behind a [`Gate`].
+/// A connection whose writes a [`Gate`] checks.
 #[derive(Debug)]
 pub struct GatedStream {
     gate: Gate,
@@ -85,7 +86,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.gate.pass()?;
+        self.gate.check()?;
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
--- a/crates/daemon/src/targets/generate.rs
+++ b/crates/daemon/src/targets/generate.rs
@@ -16,7 +16,7 @@
     whinlatch_wire::target::{GENERATE_PATH, GenerateRequest, StreamChunk},
 };
 
-/// Sends a prompt and passes its chunks on as steps, until the end mark.
+/// Sends a prompt and emits the chunks of its answer as steps, up to the one marked as the end.
 pub async fn run(
     shared: &Shared,
     dispatch: &Dispatch,
@@ -26,7 +26,7 @@
 ) -> Result<(), AttemptEvent> {
     let mut liveness = Liveness::new(shared, dispatch, true);
     let response = liveness
-        .watch(ask(shared, dispatch, work, first_chunk).boxed())
+        .watch(send_prompt(shared, dispatch, work, first_chunk).boxed())
         .await
         .map_err(|lost| lost_event(lost, first_chunk))??;
     if response.status() != StatusCode::Ok {
@@ -43,9 +43,9 @@
     .await
 }
 
-/// Sends the prompt. The copy of it that is sent goes with the boxed future, so that it isn't held
-/// while the answer is streamed: a prompt of a million tokens has 4 MB.
-async fn ask(
+/// Sends the prompt. The copy in the request body is dropped with the boxed future, so that it isn't
+/// held while the answer is streamed: a prompt of a million tokens has 4 MB.
+async fn send_prompt(
     shared: &Shared,
     dispatch: &Dispatch,
     work: &AttemptWork,
@@ -75,7 +75,7 @@
             return Err(broken);
         };
         let Some(chunk) = own_chunk(data, dispatch, next) else {
-            shared.metrics.note_dropped_chunk();
+            shared.metrics.record_dropped_chunk();
             continue;
         };
         next += 1;
@@ -86,16 +86,19 @@
     }
 }
 
-/// Guards against answers that arrive late or crossed: a chunk of another attempt, doubled or out
-/// of order, is no part of this answer. The target echoes the attempt and numbers its chunks, so
-/// whatever differs is dropped.
+/// Parses a chunk; `None` if it isn't the next one of this attempt.
+///
+/// Guards against chunks that arrive late, twice, out of order, or on the connection of another
+/// attempt. The target echoes the attempt's id and numbers its chunks, so a chunk that differs in
+/// either is dropped.
 fn own_chunk(data: &[u8], dispatch: &Dispatch, next: u64) -> Option<StreamChunk> {
     serde_json::from_slice::<StreamChunk>(data)
         .ok()
         .filter(|chunk| chunk.attempt == dispatch.attempt && chunk.sequence == next)
 }
 
-/// Sends a request of an attempt and reads the head of the answer.
+/// Sends the request of an attempt and reads the head of its answer. Fails with
+/// [`AttemptEvent::NotSent`] only if no byte was written.
 pub async fn send<T: serde::Serialize>(
     shared: &Shared,
     dispatch: &Dispatch,
@@ -114,7 +117,7 @@
     async_h1::connect(gate.guard(stream), request)
         .await
         .map_err(|_broken| {
-            if gate.passed() {
+            if gate.may_have_sent() {
                 AttemptEvent::Broken { chunks: 0 }
             } else {
                 AttemptEvent::NotSent
--- a/crates/daemon/src/targets/json_call.rs
+++ b/crates/daemon/src/targets/json_call.rs
@@ -9,54 +9,54 @@
     whinlatch_core::MonoMs,
 };
 
-/// A call that got no answer of the expected kind.
+/// The failure of a call that isn't an attempt.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// Not one byte was written.
-    #[error("nothing was sent: connect anew")]
+    /// No byte was written.
+    #[error("nothing was sent: connect again")]
     NotSent,
-    /// Something was written and no whole answer came.
+    /// Bytes may have been written, and no complete answer arrived.
     #[error("the answer is lost: ask again if the call is idempotent")]
     Lost,
-    /// The answer has another status.
+    /// The answer has another HTTP status than 200.
     #[error("the answer has status {0}: see the other side's log")]
     Status(u16),
-    /// The answer's body is not what was expected.
-    #[error("the answer can't be read ({0}): run versions that fit each other")]
+    /// The body can't be encoded or decoded, or the URL is invalid.
+    #[error("the answer can't be read ({0}): run compatible versions")]
     Unreadable(String),
 }
 
-/// An answer read whole.
+/// A completely read answer.
 #[derive(Debug)]
 pub struct WholeAnswer {
-    /// HTTP status.
+    /// HTTP status, of success or failure.
     pub status: u16,
-    /// Body.
+    /// Body, not yet decoded.
     pub body: Vec<u8>,
 }
 
 impl WholeAnswer {
-    /// Reads the body as JSON.
+    /// Decodes the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, CallError> {
         serde_json::from_slice(&self.body).map_err(|error| CallError::Unreadable(error.to_string()))
     }
 }
 
-/// Reads JSON from `path`, in `limit_ms` and no more than `limit_bytes`.
+/// Reads JSON of at most `max_bytes` from `path` within `timeout_ms`.
 ///
 /// # Errors
-/// [`CallError`] if there is no such answer.
+/// [`CallError`] if the answer is late, too large, not JSON, or has another status than 200.
 pub async fn get_json<T: DeserializeOwned>(
     shared: &Shared,
     address: SocketAddr,
     path: &str,
-    limit_ms: u64,
-    limit_bytes: u64,
+    timeout_ms: u64,
+    max_bytes: u64,
 ) -> Result<T, CallError> {
     let request = request(Method::Get, address, path)?;
-    let send_before = shared.clock.now() + limit_ms;
-    let call = exchange(shared, address, request, send_before, limit_bytes);
-    let answer = timeout(shared.clock.as_ref(), limit_ms, call)
+    let send_before = shared.clock.now() + timeout_ms;
+    let call = exchange(shared, address, request, send_before, max_bytes);
+    let answer = timeout(shared.clock.as_ref(), timeout_ms, call)
         .await
         .unwrap_or(Err(CallError::Lost))?;
     match answer.status {
@@ -65,22 +65,23 @@
     }
 }
 
-/// Posts JSON to `path` unless `send_before` has passed, and reads the answer whole.
+/// Posts JSON to `path` unless `send_before` has passed, and reads the complete answer.
 ///
 /// # Errors
-/// [`CallError::NotSent`] if nothing was written, [`CallError::Lost`] if no answer came.
+/// [`CallError::NotSent`] if nothing was written, [`CallError::Lost`] if no complete answer arrived
+/// within `timeout_ms`.
 pub async fn post_json<T: Serialize>(
     shared: &Shared,
     address: SocketAddr,
     path: &str,
     body: &T,
     send_before: MonoMs,
-    limit_ms: u64,
+    timeout_ms: u64,
 ) -> Result<WholeAnswer, CallError> {
     let mut request = request(Method::Post, address, path)?;
     set_json(&mut request, body)?;
     let call = exchange(shared, address, request, send_before, MAX_ANSWER_BYTES);
-    timeout(shared.clock.as_ref(), limit_ms, call)
+    timeout(shared.clock.as_ref(), timeout_ms, call)
         .await
         .unwrap_or(Err(CallError::Lost))
 }
@@ -107,7 +108,7 @@
     address: SocketAddr,
     mut request: Request,
     send_before: MonoMs,
-    limit_bytes: u64,
+    max_bytes: u64,
 ) -> Result<WholeAnswer, CallError> {
     let stream = connect(shared.clock.as_ref(), address)
         .await
@@ -117,7 +118,7 @@
     let mut response = async_h1::connect(gate.guard(stream), request)
         .await
         .map_err(|_broken| lost_or_not_sent(&gate))?;
-    let body = read_body(&mut response, limit_bytes)
+    let body = read_body(&mut response, max_bytes)
         .await
         .map_err(|_broken| CallError::Lost)?;
     Ok(WholeAnswer {
@@ -127,7 +128,7 @@
 }
 
 fn lost_or_not_sent(gate: &Gate) -> CallError {
-    if gate.passed() {
+    if gate.may_have_sent() {
         CallError::Lost
     } else {
         CallError::NotSent
@@ -138,16 +139,16 @@
     response.status().into()
 }
 
-/// Reads a body whole.
+/// Reads a complete body.
 ///
 /// # Errors
-/// The connection breaks before its end, or it is larger than `limit_bytes`.
-pub async fn read_body(response: &mut Response, limit_bytes: u64) -> io::Result<Vec<u8>> {
+/// The connection breaks before the end of the body, or the body is larger than `max_bytes`.
+pub async fn read_body(response: &mut Response, max_bytes: u64) -> io::Result<Vec<u8>> {
     if response.status() == StatusCode::NoContent {
         return Ok(Vec::new());
     }
     let expected = response.len();
-    let body = read_limited(response, limit_bytes).await?;
+    let body = read_limited(response, max_bytes).await?;
     match expected {
         Some(expected) if expected != body.len() => Err(io::ErrorKind::UnexpectedEof.into()),
         _ => Ok(body),
@@ -156,12 +157,12 @@
 
 async fn read_limited(
     reader: &mut (impl AsyncRead + Unpin),
-    limit_bytes: u64,
+    max_bytes: u64,
 ) -> io::Result<Vec<u8>> {
     let mut body = Vec::new();
-    reader.take(limit_bytes + 1).read_to_end(&mut body).await?;
-    if body.len() as u64 > limit_bytes {
-        let message = format!("the answer is larger than {limit_bytes} bytes: send less");
+    reader.take(max_bytes + 1).read_to_end(&mut body).await?;
+    if body.len() as u64 > max_bytes {
+        let message = format!("the answer is larger than {max_bytes} bytes: send less");
         return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
     Ok(body)
--- a/crates/daemon/src/targets/liveness.rs
+++ b/crates/daemon/src/targets/liveness.rs
@@ -14,28 +14,28 @@
     },
 };
 
-/// Time for a report over a fresh connection, in ms.
+/// Time for a report to be read over a new connection, in ms.
 const PROBE_TIMEOUT_MS: u64 = 1_000;
 /// Largest report, in bytes.
 const MAX_REPORT_BYTES: u64 = 4 * 1_048_576;
-/// Reports in a row that don't know the attempt before its connection is held to be lost. More
-/// than one, since reports lag.
-const REPORTS_WITHOUT_IT: u32 = 2;
+/// Consecutive reports that don't list the attempt after which its connection is taken as lost. More
+/// than one, because reports lag.
+const MAX_REPORTS_WITHOUT_ATTEMPT: u32 = 2;
 
-/// Why nothing more is awaited on a connection.
+/// Reason for which an attempt's connection is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
-    /// The target answers over no connection.
-    Silent,
-    /// The target lives, but nothing more will come over this connection.
+pub enum ConnectionLost {
+    /// The target doesn't answer over a new connection either.
+    TargetSilent,
+    /// The target answers, but not over this connection, or it has restarted.
     Broken,
 }
 
-/// Judges the silence of an attempt's connection.
+/// Detects the loss of an attempt's connection.
 ///
-/// Guards against connections that go silent for good while new ones work, and against targets
-/// that stop answering. Neither shows as an error. A long prefill is silent too, so silence alone
-/// proves nothing: the target is asked over a fresh connection, and its word decides.
+/// Guards against connections that go silent for good while new ones work, and against targets that
+/// stop answering. Neither shows as an error. A long prefill is silent too, so silence alone proves
+/// nothing: the target's report is read over a new connection and decides.
 #[derive(Debug)]
 pub struct Liveness<'a> {
     shared: &'a Shared,
@@ -43,12 +43,13 @@
     attempt: AttemptId,
     incarnation: Incarnation,
     reports_holdings: bool,
-    without_it: u32,
+    /// Consecutive reports that didn't list the attempt.
+    reports_without_attempt: u32,
 }
 
 impl<'a> Liveness<'a> {
-    /// Judges the connection of a dispatch. `reports_holdings` is whether the target's report
-    /// lists the attempts that it works on.
+    /// Creates a detector for the connection of a dispatch. `reports_holdings` is whether the
+    /// target's report lists the attempts that it is running.
     pub fn new(shared: &'a Shared, dispatch: &Dispatch, reports_holdings: bool) -> Self {
         Self {
             shared,
@@ -56,34 +57,36 @@
             attempt: dispatch.attempt,
             incarnation: dispatch.expect_incarnation,
             reports_holdings,
-            without_it: 0,
+            reports_without_attempt: 0,
         }
     }
 
-    /// Waits for something from the connection.
-    pub async fn watch<F: Future>(&mut self, something: F) -> Result<F::Output, Lost> {
-        pin_mut!(something);
-        self.without_it = 0;
+    /// Waits for `read`, a read from the connection, until it ends or the connection is lost. After
+    /// each `target_silence_ms` without a result, the target's report is read.
+    pub async fn watch<F: Future>(&mut self, read: F) -> Result<F::Output, ConnectionLost> {
+        pin_mut!(read);
+        self.reports_without_attempt = 0;
         loop {
             let silence_ms = self.shared.settings.limits.target_silence_ms;
             let silence = self.shared.clock.sleep(silence_ms);
-            match select(something, silence).await {
+            match select(read, silence).await {
                 Either::Left((output, _)) => return Ok(output),
-                Either::Right(((), waiting)) => something = waiting,
+                Either::Right(((), pending)) => read = pending,
             }
-            // Boxed, since few attempts are silent and all would hold the memory for it.
+            // Boxed, because few attempts become silent, and all would hold the memory for it.
             let probe = self.probe().boxed();
-            match select(something, probe).await {
+            match select(read, probe).await {
                 Either::Left((output, _)) => return Ok(output),
-                Either::Right((verdict, waiting)) => {
-                    verdict?;
-                    something = waiting;
+                Either::Right((probed, pending)) => {
+                    probed?;
+                    read = pending;
                 }
             }
         }
     }
 
-    async fn probe(&mut self) -> Result<(), Lost> {
+    /// Reads the target's report over a new connection; fails if the attempt's connection is lost.
+    async fn probe(&mut self) -> Result<(), ConnectionLost> {
         let report: LoadReport = get_json(
             self.shared,
             self.address,
@@ -92,23 +95,24 @@
             MAX_REPORT_BYTES,
         )
         .await
-        .map_err(|_no_answer| Lost::Silent)?;
+        .map_err(|_no_answer| ConnectionLost::TargetSilent)?;
         if report.incarnation != self.incarnation {
-            return Err(Lost::Broken);
+            return Err(ConnectionLost::Broken);
         }
-        if !self.reports_holdings || self.may_work_on_it(&report) {
-            self.without_it = 0;
+        if !self.reports_holdings || self.may_be_running(&report) {
+            self.reports_without_attempt = 0;
             return Ok(());
         }
-        self.without_it += 1;
-        if self.without_it < REPORTS_WITHOUT_IT {
+        self.reports_without_attempt += 1;
+        if self.reports_without_attempt < MAX_REPORTS_WITHOUT_ATTEMPT {
             return Ok(());
         }
-        Err(Lost::Broken)
+        Err(ConnectionLost::Broken)
     }
 
-    /// Reports list what runs and only count what waits.
-    fn may_work_on_it(&self, report: &LoadReport) -> bool {
+    /// Returns whether the target may be running the attempt. Reports list running attempts but only
+    /// count waiting ones, so any waiting attempt may be this one.
+    fn may_be_running(&self, report: &LoadReport) -> bool {
         let holds = report
             .holdings
             .iter()
--- a/crates/daemon/src/targets/service_call.rs
+++ b/crates/daemon/src/targets/service_call.rs
@@ -12,10 +12,10 @@
     whinlatch_wire::target::{CALL_PATH, ServiceAnswer, ServiceCall},
 };
 
-/// Largest answer of a plain service, in bytes.
+/// Largest answer of a plain service that is passed to the caller, in bytes.
 const MAX_ANSWER_BYTES: u64 = 16 * 1_048_576;
 
-/// Calls a plain service and passes its whole answer on as a step.
+/// Calls a plain service and emits its complete answer as a step.
 pub async fn run(
     shared: &Shared,
     dispatch: &Dispatch,
@@ -47,8 +47,8 @@
         .map_err(|_broken| BROKEN)?;
     let answer: ServiceAnswer = serde_json::from_slice(&body).map_err(|_not_an_answer| BROKEN)?;
     if answer.attempt != dispatch.attempt {
-        // A late or crossed answer to another caller's call: it must not reach this one.
-        shared.metrics.note_dropped_chunk();
+        // An answer to another caller's call, sent late or on the wrong connection.
+        shared.metrics.record_dropped_chunk();
         return Err(BROKEN);
     }
     Ok(answer)
--- a/crates/daemon/tests/daemon.rs
+++ b/crates/daemon/tests/daemon.rs
@@ -1,4 +1,5 @@
-//! The whole daemon, in process, against the fakes of the platform, engines and a plain service.
+//! Integration tests of the daemon in this process, against stand-ins of the platform, engines and a
+//! plain service.
 
 #[path = "daemon/bad_input.rs"]
 mod bad_input;
