--- a/crates/daemon/tests/processes/main.rs
+++ b/crates/daemon/tests/processes/main.rs
@@ -1,7 +1,7 @@
-//! Failures of whole processes: daemons that are killed, frozen and cut off while they work.
+//! Process failures: daemons that are killed, frozen and partitioned while they serve requests.
 //!
-//! The daemons are the built program, the fakes run in this process and count what was run.
-//! Everything waits for events.
+//! The daemons run as processes of the built program. The stand-ins run in this process and count the
+//! calls that were run. The tests wait for conditions, not for fixed times.
 
 mod client;
 mod leaving;
--- a/crates/daemon/tests/processes/world.rs
+++ b/crates/daemon/tests/processes/world.rs
@@ -1,4 +1,4 @@
-//! What surrounds the daemons: a platform with records, engines and plain services.
+//! The stand-ins around the daemons: a platform with records, engines and plain services.
 
 use {
     super::{client::get, process::Process, wait::until},
@@ -18,14 +18,14 @@
 
 /// Key that callers of the account present.
 pub const CALLER_KEY: &str = "a key of the tests";
-/// Its SHA-256 digest.
+/// SHA-256 digest of [`CALLER_KEY`], in hexadecimal.
 const CALLER_KEY_SHA256: &str = "773a4fa29b88e3f28dc7eaa78f758da4c2d2dafd157a4faaca8a58a9c888edc1";
-/// The client account.
+/// The only client account.
 pub const ACCOUNT: &str = "members";
-/// The model.
+/// The only model.
 pub const MODEL: &str = "assistant";
 
-/// What surrounds the daemons of a test.
+/// The stand-ins around the daemons of a test.
 pub struct World {
     pub platform: Platform,
     pub engines: Vec<Engine>,
@@ -33,7 +33,7 @@
     memory_tokens: u64,
 }
 
-/// What a world is made of.
+/// Number and options of the stand-ins.
 pub struct WorldOptions {
     pub engines: usize,
     pub engine: EngineOptions,
@@ -52,7 +52,7 @@
     }
 }
 
-/// An engine that gives an answer of 32 tokens within some tenths of a second.
+/// Options of an engine that gives an answer of 32 tokens within some tenths of a second.
 pub fn engine() -> EngineOptions {
     EngineOptions {
         models: vec![ServedModel {
@@ -67,7 +67,7 @@
 }
 
 impl World {
-    /// Starts all fakes and publishes records of them.
+    /// Starts all stand-ins and publishes their records.
     pub async fn start(options: WorldOptions) -> Self {
         let platform = Platform::start(PlatformOptions::default()).await.unwrap();
         let mut engines = Vec::new();
@@ -88,7 +88,7 @@
         world
     }
 
-    /// Publishes the records of this world at a platform.
+    /// Publishes the records of this world on a platform.
     pub fn publish_all(&self, platform: &Platform) {
         publish(platform, "accounts/members", &account());
         publish(platform, "policy", &policy(3_000));
@@ -119,7 +119,8 @@
         publish(platform, &key, &target(&name, address, &role));
     }
 
-    /// Starts daemons that the platform lists, and waits until each is ready and linked to all.
+    /// Starts daemons, lists them on the platform, and waits until each is ready and linked to all
+    /// others.
     pub async fn fleet(&self, count: usize) -> Vec<Process> {
         let mut fleet = Vec::new();
         for number in 0..count {
@@ -134,17 +135,17 @@
         fleet
     }
 
-    /// Settings of a daemon beside this platform, on free ports.
+    /// Returns settings of a daemon that reads this platform, on free ports.
     pub fn settings(&self, instance: &str) -> Settings {
         settings(instance, self.platform.address())
     }
 
-    /// Lists daemons, and no targets.
+    /// Sets the daemons in the platform's list of instances, without targets.
     pub fn list(&self, daemons: &[Process]) {
         self.list_with(daemons, Vec::new());
     }
 
-    /// Lists daemons and targets.
+    /// Sets the daemons and targets in the platform's list of instances.
     pub fn list_with(&self, daemons: &[Process], targets: Vec<ListedTarget>) {
         let daemons = daemons
             .iter()
@@ -163,7 +164,7 @@
         });
     }
 
-    /// Waits until a daemon knows the present run of each target.
+    /// Waits until a daemon knows the current incarnation of each target.
     pub async fn until_ready(&self, daemon: &Process) {
         let targets = self.engines.len() + self.services.len();
         until("the daemon knows each target", async || {
@@ -176,7 +177,7 @@
         .await;
     }
 
-    /// Runs of a call at all services.
+    /// Returns how often a call was run at all services together.
     pub fn runs_of(&self, body: &str) -> u32 {
         let runs = |service: &PlainService| {
             let counted = service.stats().runs_by_key;
@@ -186,12 +187,12 @@
     }
 }
 
-/// Name of a service by its number.
+/// Returns the name of the service with a number.
 pub fn service_name(number: usize) -> String {
     format!("labels-{number}")
 }
 
-/// Waits until a daemon has links to so many others.
+/// Waits until a daemon has links to exactly `peers` others.
 pub async fn until_linked(daemon: &Process, peers: usize) {
     until("the daemon is linked to the others", async || {
         linked(daemon).await == Some(peers)
@@ -199,7 +200,7 @@
     .await;
 }
 
-/// Others to which a daemon has links.
+/// Returns the number of links of a daemon; `None` if it doesn't answer.
 pub async fn linked(daemon: &Process) -> Option<usize> {
     let status = status(daemon).await?;
     Some(status.peers.iter().filter(|peer| peer.linked).count())
@@ -215,12 +216,12 @@
     .await;
 }
 
-/// What a daemon says of itself.
+/// Returns a daemon's status; `None` if it doesn't answer.
 pub async fn status(daemon: &Process) -> Option<StatusReport> {
     get(daemon.callers, "/v1/status").await
 }
 
-/// Settings of a daemon on free ports.
+/// Returns settings of a daemon on free ports.
 pub fn settings(instance: &str, platform: SocketAddr) -> Settings {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
@@ -237,19 +238,19 @@
     }
 }
 
-/// Publishes a record.
+/// Publishes a record on a platform and returns its revision.
 pub fn publish(platform: &Platform, key: &str, value: &Value) -> Revision {
     platform.publish(key, Some(&value.to_string()))
 }
 
-/// The policy, with a time for which callers may keep addresses. Retries aren't what is tested
-/// here, so that their budget never runs out.
+/// Returns a policy with the time for which callers may cache entries. The budget of retries is so
+/// large that it never runs out, because these tests aren't about it.
 pub fn policy(entries_ttl_ms: u64) -> Value {
     let spec = json!({ "entries_ttl_ms": entries_ttl_ms, "retry_budget_per_mille": 1_000 });
     record("policy", &spec)
 }
 
-/// A route that sends all to one provider.
+/// Returns a route with a single provider.
 pub fn route(subject: &Value) -> Value {
     let providers = json!([{ "provider": "old", "share_per_mille": 1_000 }]);
     record(
