--- a/crates/daemon/src/app.rs
+++ b/crates/daemon/src/app.rs
@@ -8,5 +8,5 @@
 pub use {
     daemon::{Daemon, DaemonOptions},
     run::run,
-    signals::{StopSignal, stop_signals},
+    signals::{ProcessSignal, process_signals},
 };
--- a/crates/daemon/src/app/run.rs
+++ b/crates/daemon/src/app/run.rs
@@ -2,7 +2,7 @@
     super::{
         args::{Args, Source, args},
         daemon::{Daemon, DaemonOptions},
-        signals::{StopSignal, stop_signals},
+        signals::{ProcessSignal, process_signals},
     },
     crate::{
         clock::{Clock, SystemClock, timeout},
@@ -64,7 +64,7 @@
     clock: Arc<dyn Clock>,
     shutdown_ms: u64,
 ) -> Result<(), DaemonError> {
-    let signals = stop_signals()?;
+    let signals = process_signals()?;
     let mut daemon = Daemon::start(options).await?;
     println!(
         "listening callers={} peers={}",
@@ -82,7 +82,7 @@
 
 /// Waits for a signal to stop, or until the daemon has stopped by itself: the platform's list of
 /// instances may mark this one as leaving.
-async fn wait_for_stop(daemon: &Daemon, signals: &Receiver<StopSignal>) {
+async fn wait_for_stop(daemon: &Daemon, signals: &Receiver<ProcessSignal>) {
     let signalled = stop_signal(signals);
     let stopped = daemon.stopped();
     pin_mut!(signalled, stopped);
@@ -91,11 +91,11 @@
 
 /// Waits for the signal to stop, or until no more signals can arrive. A signal to reload has no
 /// effect, because the settings file is read at the start only.
-async fn stop_signal(signals: &Receiver<StopSignal>) {
+async fn stop_signal(signals: &Receiver<ProcessSignal>) {
     while let Ok(signal) = signals.recv().await {
         match signal {
-            StopSignal::Stop => return,
-            StopSignal::Reload => {
+            ProcessSignal::Stop => return,
+            ProcessSignal::Reload => {
                 log::info!(
                     "app: settings are read at the start only: restart the daemon to reload"
                 );
--- a/crates/daemon/src/app/signals.rs
+++ b/crates/daemon/src/app/signals.rs
@@ -13,7 +13,7 @@
 
 /// The request that a signal of the process carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StopSignal {
+pub enum ProcessSignal {
     /// Finish requests in flight and stop (`SIGTERM`, `SIGINT`).
     Stop,
     /// Read the settings again (`SIGHUP`).
@@ -25,7 +25,7 @@
 /// # Errors
 /// [`DaemonError::Signals`] if the handlers can't be installed, [`DaemonError::Thread`] if the system
 /// can't start a thread.
-pub fn stop_signals() -> Result<Receiver<StopSignal>, DaemonError> {
+pub fn process_signals() -> Result<Receiver<ProcessSignal>, DaemonError> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(DaemonError::Signals)?;
     let (signals_sender, received) = async_channel::bounded(SIGNAL_QUEUE_LEN);
     thread::Builder::new()
@@ -33,8 +33,8 @@
         .spawn(move || {
             for signal in signals.forever() {
                 let request = match signal {
-                    SIGHUP => StopSignal::Reload,
-                    _ => StopSignal::Stop,
+                    SIGHUP => ProcessSignal::Reload,
+                    _ => ProcessSignal::Stop,
                 };
                 if signals_sender.send_blocking(request).is_err() {
                     return;
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -10,7 +10,7 @@
         store::read_store,
     },
     crate::{
-        app::{StopSignal, stop_signals},
+        app::{ProcessSignal, process_signals},
         clock::{Clock, SystemClock, timeout},
         entropy::random_u64,
         errors::DaemonError,
@@ -242,17 +242,17 @@
     clock: Arc<dyn Clock>,
     options: &EntryOptions,
 ) -> Result<(), DaemonError> {
-    let signals = stop_signals()?;
+    let signals = process_signals()?;
     let entry = Entry::start(settings, Arc::clone(&clock)).await?;
     entry.switch_off(options.without);
     loop {
         let signalled = timeout(clock.as_ref(), REREAD_MS, signals.recv()).await;
         match signalled {
-            Some(Ok(StopSignal::Stop)) => {
+            Some(Ok(ProcessSignal::Stop)) => {
                 entry.leave().await;
                 return Ok(());
             }
-            Some(Ok(StopSignal::Reload)) | None => entry.read_again(options),
+            Some(Ok(ProcessSignal::Reload)) | None => entry.read_again(options),
             Some(Err(_closed)) => return Ok(()),
         }
     }
