--- a/crates/soak/src/finding.rs
+++ b/crates/soak/src/finding.rs
@@ -1,16 +1,16 @@
 use serde::Serialize;
 
-/// A promise that wasn't kept.
+/// A promise that a run broke.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Finding {
-    /// The promise, in a word.
+    /// Short name of the promise; the same for all findings of one check.
     pub promise: &'static str,
-    /// What was seen.
+    /// Observation that contradicts the promise.
     pub seen: String,
 }
 
 impl Finding {
-    /// A finding.
+    /// Returns the finding that `seen` breaks `promise`.
     pub fn new(promise: &'static str, seen: String) -> Self {
         Self { promise, seen }
     }
--- a/crates/soak/src/flag.rs
+++ b/crates/soak/src/flag.rs
@@ -3,7 +3,7 @@
     time::Duration,
 };
 
-/// A word that is given once, and wakes those that wait for it.
+/// A one-way signal between threads: once set, it stays set, and all waiting threads resume.
 #[derive(Debug, Default)]
 pub struct Flag {
     is_set: Mutex<bool>,
@@ -11,23 +11,23 @@
 }
 
 impl Flag {
-    /// Gives the word.
+    /// Sets the flag and wakes all waiting threads.
     pub fn set(&self) {
         *self.is_set.lock().unwrap_or_else(PoisonError::into_inner) = true;
         self.changed.notify_all();
     }
 
-    /// Whether the word was given.
+    /// Returns whether the flag is set, without waiting.
     pub fn is_set(&self) -> bool {
         *self.is_set.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for the word, for so long at most. Returns whether it was given.
-    pub fn wait(&self, most: Duration) -> bool {
+    /// Waits until the flag is set, for `timeout` at most. Returns whether it is set.
+    pub fn wait(&self, timeout: Duration) -> bool {
         let is_set = self.is_set.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self
             .changed
-            .wait_timeout_while(is_set, most, |is_set| !*is_set);
+            .wait_timeout_while(is_set, timeout, |is_set| !*is_set);
         *waited.unwrap_or_else(PoisonError::into_inner).0
     }
 }
--- a/crates/soak/src/instance.rs
+++ b/crates/soak/src/instance.rs
@@ -1,7 +1,7 @@
-//! An entry instance as a process, which is started again when it ends, as the platform does.
+//! An entry instance as a process, restarted when it exits, as the platform does.
 
 use {
-    crate::{finding::Finding, ledger::InstanceRun},
+    crate::{finding::Finding, observations::InstanceRun},
     rustix::process::{Pid, Signal, kill_process},
     std::{
         env,
@@ -14,31 +14,31 @@
     whinlatch_platform_standins::SettingsFile,
 };
 
-/// Name of the program, which stands beside this one.
+/// File name of the program, which is in the same folder as this one.
 const PROGRAM: &str = "whinlatchd";
-/// Variable that holds the path of the settings file.
+/// Environment variable with the path of the settings file.
 const SETTINGS_VARIABLE: &str = "WHINLATCH_NODE_FILE";
-/// Time between the end of a process and its next start.
-const RESTART: Duration = Duration::from_millis(200);
+/// Time from the exit of a process to its next start.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
 
-/// What the process was told to do.
+/// Last command to the process, which decides which exit is expected. Findings print the variants' names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
+enum LastCommand {
     Serve,
     Stop,
     Die,
 }
 
-/// An entry instance; its process is killed by its own id when dropped.
+/// An entry instance. Dropping it kills its process, by the process's own id.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its settings.
+    /// Settings that the process reads from its file.
     pub settings: SettingsFile,
     number: usize,
     folder: PathBuf,
     child: Option<Child>,
-    told: Told,
-    ended_at: Option<Instant>,
+    last_command: LastCommand,
+    exited_at: Option<Instant>,
     starts: u32,
     is_paused: bool,
 }
@@ -48,25 +48,25 @@
         self.resume();
         self.kill();
         if let Some(child) = &mut self.child {
-            // It is dead or dying; an error says that it was waited for already.
+            // The process is dead or dying; an error means that it was waited for already.
             let _status = child.wait();
         }
     }
 }
 
 impl Instance {
-    /// Starts the process; its files are in `folder`.
+    /// Starts the process, with its settings file and its log in `folder`.
     ///
     /// # Errors
-    /// The program isn't there, or the folder can't be written.
+    /// The program is missing, or the folder isn't writable.
     pub fn start(number: usize, settings: SettingsFile, folder: &Path) -> io::Result<Self> {
         let mut instance = Self {
             settings,
             number,
             folder: folder.to_owned(),
             child: None,
-            told: Told::Serve,
-            ended_at: None,
+            last_command: LastCommand::Serve,
+            exited_at: None,
             starts: 0,
             is_paused: false,
         };
@@ -74,7 +74,7 @@
         Ok(instance)
     }
 
-    /// The run that serves now.
+    /// Returns the current run: how often the process was started so far.
     pub fn run(&self) -> InstanceRun {
         InstanceRun {
             instance: self.number,
@@ -99,19 +99,20 @@
             .stderr(log)
             .spawn()?;
         self.child = Some(child);
-        self.told = Told::Serve;
+        self.last_command = LastCommand::Serve;
         self.starts += 1;
         Ok(())
     }
 
-    /// Starts the process again if it has ended. Returns what is wrong with its end.
+    /// Restarts the process [`RESTART_DELAY`] after its exit. Returns a finding if it exited without a
+    /// command, or with a failure after one to stop.
     ///
     /// # Errors
-    /// The process can't be waited for or started.
+    /// Waiting for the process or starting it failed.
     pub fn supervise(&mut self) -> io::Result<Option<Finding>> {
-        if let Some(ended_at) = self.ended_at {
-            if ended_at.elapsed() >= RESTART {
-                self.ended_at = None;
+        if let Some(exited_at) = self.exited_at {
+            if exited_at.elapsed() >= RESTART_DELAY {
+                self.exited_at = None;
                 self.spawn()?;
             }
             return Ok(None);
@@ -126,54 +127,54 @@
             return Ok(None);
         };
         self.child = None;
-        self.ended_at = Some(Instant::now());
-        Ok(self.judge_end(status))
+        self.exited_at = Some(Instant::now());
+        Ok(self.check_exit(status))
     }
 
-    fn judge_end(&self, status: ExitStatus) -> Option<Finding> {
-        let is_right = match self.told {
-            Told::Serve => false,
-            Told::Stop => status.success(),
-            Told::Die => true,
+    fn check_exit(&self, status: ExitStatus) -> Option<Finding> {
+        let is_expected = match self.last_command {
+            LastCommand::Serve => false,
+            LastCommand::Stop => status.success(),
+            LastCommand::Die => true,
         };
         let seen = format!(
             "{} ended with {status} after it was told to {:?}",
-            self.settings.name, self.told
+            self.settings.name, self.last_command
         );
-        (!is_right).then(|| Finding::new("process ends only when told", seen))
+        (!is_expected).then(|| Finding::new("process ends only when told", seen))
     }
 
-    /// Tells the process to stop.
+    /// Signals the process to stop in an orderly way.
     pub fn terminate(&mut self) {
-        if self.told == Told::Serve {
-            self.told = Told::Stop;
+        if self.last_command == LastCommand::Serve {
+            self.last_command = LastCommand::Stop;
         }
         self.signal(Signal::TERM);
     }
 
-    /// Kills the process.
+    /// Kills the process, from which any exit is expected then.
     pub fn kill(&mut self) {
-        self.told = Told::Die;
+        self.last_command = LastCommand::Die;
         self.signal(Signal::KILL);
     }
 
-    /// Lets the process stand still.
+    /// Pauses the process by a signal.
     pub fn pause(&mut self) {
         self.is_paused = true;
         self.signal(Signal::STOP);
     }
 
-    /// Lets a process go on that stands still.
+    /// Resumes the process if it is paused.
     pub fn resume(&mut self) {
         if std::mem::replace(&mut self.is_paused, false) {
             self.signal(Signal::CONT);
         }
     }
 
-    /// Changes the order of its seeds and signals that its settings have changed.
+    /// Rotates the seed peers in the settings file and signals the process to reload it.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// The settings file isn't writable.
     pub fn reload(&mut self) -> io::Result<()> {
         self.settings.seeds.rotate_left(1);
         fs::write(self.settings_path(), self.settings.text())?;
@@ -183,8 +184,8 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
-            // It fails only where the process has ended, which `supervise` sees.
-            let _ended = kill_process(Pid::from_child(child), signal);
+            // This fails only if the process has exited, which `supervise` detects.
+            let _exited = kill_process(Pid::from_child(child), signal);
         }
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,26 +1,26 @@
-//! A soak of entry instances as processes: faults are drawn by a seed and injected from outside, by
-//! signals and by relays between the processes, while callers ask and targets answer. What callers
-//! and targets see is held against what the system promises.
+//! Soak test of entry instances as processes. A seed draws faults, which are injected from outside, by
+//! signals and by relays between the processes, while simulated callers send requests to stand-ins of
+//! targets. What callers and targets observe is checked against the system's promises.
 
+mod environment;
 mod finding;
 mod flag;
 mod instance;
-mod ledger;
-mod load;
+mod observations;
 mod options;
 mod plan;
-mod play;
 mod promises;
+mod seed_run;
+mod simulated_caller;
 mod target;
-mod world;
 
 pub use {
     finding::Finding,
     flag::Flag,
-    ledger::{Asked, InstanceRun, Kind, Outcome, Run},
+    observations::{InstanceRun, Outcome, RequestKind, RequestRecord, Run},
     options::{Options, options, parse_seeds},
-    plan::{Plan, Size, Step, Trouble},
-    play::{Played, play},
-    promises::{Evidence, judge},
-    target::Limited,
+    plan::{Plan, RunParameters, Step, Trouble},
+    promises::{Evidence, check_promises},
+    seed_run::{RunReport, run_seed},
+    target::LimitedPeriod,
 };
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,5 @@
-//! The program of the soak: a line of JSON a run, and exit code 1 if a promise wasn't kept.
+//! Program of the soak test: prints a line of JSON per run, and exits with code 1 if a run broke a promise
+//! or couldn't be completed.
 
 use {
     signal_hook::{
@@ -6,7 +7,7 @@
         iterator::Signals,
     },
     std::{io, process::ExitCode, sync::Arc, thread},
-    whinlatch_soak::{Flag, options, play},
+    whinlatch_soak::{Flag, options, run_seed},
 };
 
 fn main() -> ExitCode {
@@ -14,7 +15,7 @@
     let is_stopped = match stop_flag() {
         Ok(flag) => flag,
         Err(fault) => {
-            eprintln!("signals can't be awaited: {fault}");
+            eprintln!("signal handlers can't be installed: {fault}");
             return ExitCode::FAILURE;
         }
     };
@@ -24,14 +25,14 @@
             eprintln!("stopped before seed {seed}");
             return ExitCode::FAILURE;
         }
-        let line = play(seed, &options, &is_stopped).and_then(|played| {
-            is_clean &= played.findings.is_empty();
-            Ok(serde_json::to_string(&played)?)
+        let line = run_seed(seed, &options, &is_stopped).and_then(|report| {
+            is_clean &= report.findings.is_empty();
+            Ok(serde_json::to_string(&report)?)
         });
         match line {
             Ok(line) => println!("{line}"),
             Err(fault) => {
-                eprintln!("seed {seed} was not played: {fault}");
+                eprintln!("seed {seed}: the run failed: {fault}");
                 is_clean = false;
             }
         }
@@ -43,7 +44,8 @@
     }
 }
 
-/// Set by a signal to stop: the run ends early then, and with it the processes that it started.
+/// Returns a flag that SIGINT or SIGTERM sets. It ends the current run early, and with it the processes that
+/// the run started.
 fn stop_flag() -> io::Result<Arc<Flag>> {
     let flag = Arc::new(Flag::default());
     let mut signals = Signals::new([SIGINT, SIGTERM])?;
--- a/crates/soak/src/options.rs
+++ b/crates/soak/src/options.rs
@@ -3,25 +3,25 @@
     std::{num::ParseIntError, ops::RangeInclusive, path::PathBuf},
 };
 
-/// Plays seeded runs of processes with faults, and tells the promises that weren't kept.
+/// Runs processes under faults drawn by seeds, and reports the promises that a run broke.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 pub struct Options {
-    /// Seeds: one, or a range such as 1-50; may be given again.
+    /// Seeds: one, or a range such as 1-50; repeatable.
     #[bpaf(long, argument::<String>("SEEDS"), parse(|text| parse_seeds(&text)), some("give --seeds"))]
     pub seeds: Vec<RangeInclusive<u64>>,
-    /// Time for which faults are injected in each run, in s.
+    /// Time during which each run injects faults, in s.
     #[bpaf(long, argument("S"), fallback(12), display_fallback)]
     pub seconds: u64,
-    /// Troubles that begin in a second; they last up to three seconds each and overlap.
+    /// Troubles that begin per second; each lasts up to three seconds, and they overlap.
     #[bpaf(long, argument("N"), fallback(1.5), display_fallback)]
     pub troubles_per_s: f64,
-    /// Targets that start again under their names, or whose entries somebody else overwrites, in a
-    /// second; beside the other troubles of a seed, which stay as they are.
+    /// Targets per second that restart under the same name, or whose entries another client of the store
+    /// overwrites. The other troubles of a seed stay the same.
     #[bpaf(long, argument("N"), fallback(0.0), display_fallback)]
     pub restarts_per_s: f64,
-    /// Targets that name a limit, say in their answers that they leave, or want nothing for a while, in a second;
-    /// beside the other troubles of a seed, which stay as they are.
+    /// Targets per second that announce a limit, announce in their responses that they leave, or refuse
+    /// requests for a while. The other troubles of a seed stay the same.
     #[bpaf(long, argument("N"), fallback(0.0), display_fallback)]
     pub notices_per_s: f64,
     /// Number of instances.
@@ -33,11 +33,10 @@
     /// Number of callers.
     #[bpaf(long, argument("N"), fallback(12), display_fallback)]
     pub callers: usize,
-    /// Judge by the clock, too: answers in time, limits of targets kept. Not for a
-    /// machine that is busy.
+    /// Also check times: responses on time, limits of targets kept. Not for a busy machine.
     #[bpaf(long)]
     pub timed: bool,
-    /// Folder that keeps the logs of runs with findings.
+    /// Folder for the logs of runs with findings.
     #[bpaf(
         long,
         argument("FOLDER"),
@@ -47,10 +46,10 @@
     pub keep: PathBuf,
 }
 
-/// Reads `7` or `1-50`.
+/// Parses a seed such as `7`, or an inclusive range such as `1-50`.
 ///
 /// # Errors
-/// It is no number.
+/// A bound isn't a whole number.
 pub fn parse_seeds(text: &str) -> Result<RangeInclusive<u64>, ParseIntError> {
     let (first, last) = text.split_once('-').unwrap_or((text, text));
     Ok(first.parse()?..=last.parse()?)
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,171 +1,174 @@
+//! Plan of a run: what happens and when, drawn by the run's seed.
+
 use {serde::Serialize, std::ops::Range};
 
-/// Longest of a trouble, in ms; several overlap.
-const TROUBLE_MS: Range<u64> = 300..3_000;
-/// Time for which a target that leaves serves what it has, in ms: over the two seconds for which
+/// Range of the duration of a trouble, in ms; troubles overlap.
+const TROUBLE_DURATION_MS: Range<u64> = 300..3_000;
+/// Shortest time for which a leaving target goes on serving, in ms: more than the two seconds for which
 /// instances may still send to it.
-const LEAVING_MS: u64 = 2_500;
-/// Time for which a target names a limit at least, in ms: the operators count from some seconds after its first
-/// word, over four.
-const LIMITED_MS: u64 = 6_000;
-/// Limits that targets name, in tenths of a request a second.
+const MIN_LEAVING_MS: u64 = 2_500;
+/// Shortest time for which a target announces a limit, in ms: the operators count over four seconds, and begin
+/// some seconds after the first announcement.
+const MIN_LIMIT_MS: u64 = 6_000;
+/// Limits that targets announce, in tenths of a request per second.
 const LIMIT_TENTHS: Range<u32> = 5..40;
-/// Every third seed has planned work only, during which nothing may be cut off.
-const PLANNED_EVERY: u64 = 3;
+/// Every third seed draws planned work only, during which no request may be cut off.
+const PLANNED_SEED_INTERVAL: u64 = 3;
 
-/// What a run is made of.
+/// Duration, rates and sizes that a plan is drawn for.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
-    /// Time for which faults begin, in ms.
+pub struct RunParameters {
+    /// Time during which troubles begin, in ms.
     pub length_ms: u64,
-    /// Troubles that begin in a second.
+    /// Troubles that begin per second.
     pub troubles_per_s: f64,
-    /// Targets that start again under their names, or whose entries are overwritten, in a second.
+    /// Targets per second that restart under the same name, or whose entries are overwritten.
     pub restarts_per_s: f64,
-    /// Targets that name a limit, say that they leave or turn requests away for a while, in a second.
+    /// Targets per second that announce a limit or that they leave, or refuse requests for a while.
     pub notices_per_s: f64,
     /// Number of instances.
     pub instances: usize,
-    /// Number of targets, of both services.
+    /// Number of targets of both services together.
     pub targets: usize,
 }
 
-/// How a connection is disturbed on its way.
+/// Fault of the connections through a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Disturbance {
-    /// Closed, and new ones too.
+    /// Open connections are closed, and new ones too.
     Cut,
-    /// Reset, and new ones too.
+    /// Open connections are reset, and new ones too.
     Reset,
-    /// Nothing passes.
+    /// No bytes pass in either direction.
     Hold,
-    /// Only answers don't pass.
+    /// Requests pass, responses don't.
     HoldBack,
-    /// What passes is late.
+    /// Bytes pass with a delay.
     Slow,
-    /// The open ones are silent for good; new ones work.
+    /// Open connections pass nothing any more; new ones work.
     Silence,
 }
 
-/// What a target does wrong.
+/// Misbehaviour of a target towards a part of its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub enum Mood {
-    /// Says that it is full.
+pub enum TargetTrouble {
+    /// Refuses requests as not run, since it is full.
     Shedding,
-    /// Runs requests and closes without an answer.
+    /// Runs requests and closes the connection without a response.
     Losing,
-    /// Answers with fewer bytes than it says, or stops within an event.
+    /// Sends a body shorter than its length, or stops within an event of a stream.
     Breaking,
-    /// Runs requests and never answers.
+    /// Runs requests and never responds.
     Hanging,
-    /// Answers twice.
+    /// Sends two responses to a request.
     Doubling,
-    /// Succeeds without a seal.
+    /// Responds with success but without a seal.
     Unsealed,
-    /// Says that it is full and wants nothing for a while.
+    /// Refuses requests as not run and asks for no others for a while.
     Pausing,
 }
 
-/// What the store does wrong.
+/// Misbehaviour of the store towards all requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum StoreTrouble {
-    /// It says that it is busy.
+    /// Responds with status 503.
     Busy,
-    /// It says that there are too many calls.
+    /// Responds with status 429.
     Throttled,
-    /// It closes connections.
+    /// Closes connections without a response.
     Closing,
 }
 
-/// A trouble, or planned work.
+/// A fault, or planned work. Numbers are the indices of instances and targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Trouble {
-    /// An instance is told to stop, and is started again after it has ended.
+    /// An instance is signalled to stop, and is restarted after its exit.
     Terminate(usize),
-    /// An instance's settings change, with a signal.
+    /// An instance's settings change, and a signal has it reload them.
     Reload(usize),
     /// A new configuration is published.
     Configure,
-    /// A target announces that it leaves, goes, and another one takes its place.
+    /// A target publishes that it is leaving, and is replaced by another one.
     Replace(usize),
-    /// An instance is killed and started again.
+    /// An instance is killed and restarted.
     Kill(usize),
-    /// All instances are killed and started again.
+    /// All instances are killed and restarted.
     KillAll,
-    /// An instance stands still.
+    /// The process of an instance is paused.
     Pause(usize),
-    /// The way from an instance to the store is disturbed.
+    /// The connections from an instance to the store are disturbed.
     StoreWay(usize, Disturbance),
-    /// The way from callers to an instance is disturbed.
+    /// The connections from callers to an instance are disturbed.
     CallerWay(usize, Disturbance),
-    /// The way to a target is disturbed.
+    /// The connections to a target are disturbed.
     TargetWay(usize, Disturbance),
-    /// The store is in trouble for all.
+    /// The store misbehaves towards all instances.
     Store(StoreTrouble),
-    /// The store forgets its history.
+    /// The store drops its history of changes.
     Compact,
-    /// A target crashes, and comes back under another name.
+    /// A target crashes, and is replaced by one with another name.
     Crash(usize),
-    /// A target does something wrong to a part of its requests.
-    Moody(usize, Mood),
-    /// A target starts again under its name and at its address; open connections are dead.
+    /// A target misbehaves towards a part of its requests.
+    Moody(usize, TargetTrouble),
+    /// A target restarts under the same name and address; its open connections are dead.
     Restart(usize),
-    /// Somebody else overwrites a target's entry with bytes that name none.
+    /// Another client of the store overwrites a target's entry with a malformed value.
     Overwrite(usize),
-    /// A target names how many requests it takes, in tenths of one a second.
+    /// A target announces a limit of its requests, in tenths of a request per second.
     Limit(usize, u32),
-    /// A target says in its answers alone that it leaves, goes, and another one takes its place.
+    /// A target announces only in its responses that it is leaving, and is replaced by another one.
     LeaveUnpublished(usize),
 }
 
-/// A trouble and its time.
+/// A trouble with its start and duration.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Step {
-    /// When it begins, in ms from the start of the load.
+    /// Start, in ms from the start of the load.
     pub at_ms: u64,
-    /// How long it lasts, in ms, where it lasts.
+    /// Duration, in ms; ignored for troubles that happen at a moment.
     pub for_ms: u64,
-    /// What happens.
+    /// Kind of the trouble and what it affects.
     pub trouble: Trouble,
 }
 
-/// All that happens in a run, as its seed says.
+/// All troubles of a run, as drawn by its seed.
 #[derive(Debug, Clone, Serialize)]
 pub struct Plan {
-    /// Whether there is planned work only.
+    /// Whether the run has planned work only, without faults.
     pub is_planned: bool,
-    /// What happens, in order.
+    /// Steps in order of their start.
     pub steps: Vec<Step>,
 }
 
 impl Plan {
-    /// Draws what happens.
-    pub fn draw(seed: u64, size: Size) -> Self {
+    /// Draws the plan of a seed. The same seed and parameters give the same plan.
+    pub fn draw(seed: u64, parameters: RunParameters) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let is_planned = seed.is_multiple_of(PLANNED_EVERY);
-        let count = (size.length_ms as f64 / 1_000.0 * size.troubles_per_s).ceil() as usize;
+        let is_planned = seed.is_multiple_of(PLANNED_SEED_INTERVAL);
+        let count =
+            (parameters.length_ms as f64 / 1_000.0 * parameters.troubles_per_s).ceil() as usize;
         let mut steps: Vec<Step> = (0..count)
-            .map(|_| draw_step(&mut rng, size, is_planned))
+            .map(|_| draw_step(&mut rng, parameters, is_planned))
             .collect();
         if !is_planned {
-            steps.extend(draw_restarts(seed, size));
+            steps.extend(draw_restarts(seed, parameters));
         }
-        steps.extend(draw_notices(seed, size, is_planned));
+        steps.extend(draw_notices(seed, parameters, is_planned));
         steps.sort_by_key(|step| step.at_ms);
         Self { is_planned, steps }
     }
 }
 
-/// Draws them from a sequence of their own, so that the other troubles of a seed are the same with
-/// and without them.
-fn draw_restarts(seed: u64, size: Size) -> Vec<Step> {
+/// Draws restarts and overwritten entries of targets, from a random sequence of their own: the other troubles
+/// of a seed are the same with and without them.
+fn draw_restarts(seed: u64, parameters: RunParameters) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(!seed);
-    let count = (size.length_ms as f64 / 1_000.0 * size.restarts_per_s).ceil() as usize;
+    let count = (parameters.length_ms as f64 / 1_000.0 * parameters.restarts_per_s).ceil() as usize;
     let mut draw = || {
-        let target = rng.usize(..size.targets);
+        let target = rng.usize(..parameters.targets);
         Step {
-            at_ms: rng.u64(..size.length_ms),
-            for_ms: rng.u64(TROUBLE_MS),
+            at_ms: rng.u64(..parameters.length_ms),
+            for_ms: rng.u64(TROUBLE_DURATION_MS),
             trouble: if rng.bool() {
                 Trouble::Restart(target)
             } else {
@@ -176,36 +179,37 @@
     (0..count).map(|_| draw()).collect()
 }
 
-/// Draws what targets say of themselves, from a sequence of its own as well.
+/// Draws announcements of targets, from a random sequence of their own as well.
 ///
-/// Memory at a target that wants nothing isn't given back but lapses, which isn't held against planned work.
-fn draw_notices(seed: u64, size: Size, is_planned: bool) -> Vec<Step> {
+/// Planned work has no target that refuses requests for a while: memory reserved at it expires instead of
+/// being released, which the check of planned work would report.
+fn draw_notices(seed: u64, parameters: RunParameters, is_planned: bool) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed.rotate_left(1));
-    let count = (size.length_ms as f64 / 1_000.0 * size.notices_per_s).ceil() as usize;
+    let count = (parameters.length_ms as f64 / 1_000.0 * parameters.notices_per_s).ceil() as usize;
     let kinds = if is_planned { 2 } else { 3 };
     let mut draw = || {
-        let target = rng.usize(..size.targets);
-        let drawn_ms = rng.u64(TROUBLE_MS);
-        let (trouble, least_ms) = match rng.u8(..kinds) {
-            0 => (Trouble::Limit(target, rng.u32(LIMIT_TENTHS)), LIMITED_MS),
-            1 => (Trouble::LeaveUnpublished(target), LEAVING_MS),
-            _ => (Trouble::Moody(target, Mood::Pausing), 0),
+        let target = rng.usize(..parameters.targets);
+        let drawn_ms = rng.u64(TROUBLE_DURATION_MS);
+        let (trouble, min_ms) = match rng.u8(..kinds) {
+            0 => (Trouble::Limit(target, rng.u32(LIMIT_TENTHS)), MIN_LIMIT_MS),
+            1 => (Trouble::LeaveUnpublished(target), MIN_LEAVING_MS),
+            _ => (Trouble::Moody(target, TargetTrouble::Pausing), 0),
         };
         Step {
-            at_ms: rng.u64(..size.length_ms),
-            for_ms: least_ms + drawn_ms,
+            at_ms: rng.u64(..parameters.length_ms),
+            for_ms: min_ms + drawn_ms,
             trouble,
         }
     };
     (0..count).map(|_| draw()).collect()
 }
 
-fn draw_step(rng: &mut fastrand::Rng, size: Size, is_planned: bool) -> Step {
-    let at_ms = rng.u64(..size.length_ms);
-    let drawn_ms = rng.u64(TROUBLE_MS);
-    let trouble = draw_trouble(rng, size, is_planned);
+fn draw_step(rng: &mut fastrand::Rng, parameters: RunParameters, is_planned: bool) -> Step {
+    let at_ms = rng.u64(..parameters.length_ms);
+    let drawn_ms = rng.u64(TROUBLE_DURATION_MS);
+    let trouble = draw_trouble(rng, parameters, is_planned);
     let for_ms = match trouble {
-        Trouble::Replace(_) => LEAVING_MS + drawn_ms,
+        Trouble::Replace(_) => MIN_LEAVING_MS + drawn_ms,
         _ => drawn_ms,
     };
     Step {
@@ -215,9 +219,9 @@
     }
 }
 
-fn draw_trouble(rng: &mut fastrand::Rng, size: Size, is_planned: bool) -> Trouble {
-    let instance = rng.usize(..size.instances);
-    let target = rng.usize(..size.targets);
+fn draw_trouble(rng: &mut fastrand::Rng, parameters: RunParameters, is_planned: bool) -> Trouble {
+    let instance = rng.usize(..parameters.instances);
+    let target = rng.usize(..parameters.targets);
     let kinds = if is_planned { 4 } else { 14 };
     match rng.usize(..kinds) {
         0 => Trouble::Terminate(instance),
@@ -230,10 +234,10 @@
         7 => Trouble::StoreWay(instance, draw_disturbance(rng)),
         8 => Trouble::CallerWay(instance, draw_disturbance(rng)),
         9 => Trouble::TargetWay(target, draw_disturbance(rng)),
-        10 => Trouble::Store(draw_store(rng)),
+        10 => Trouble::Store(draw_store_trouble(rng)),
         11 => Trouble::Compact,
         12 => Trouble::Crash(target),
-        _ => Trouble::Moody(target, draw_mood(rng)),
+        _ => Trouble::Moody(target, draw_target_trouble(rng)),
     }
 }
 
@@ -248,7 +252,7 @@
     }
 }
 
-fn draw_store(rng: &mut fastrand::Rng) -> StoreTrouble {
+fn draw_store_trouble(rng: &mut fastrand::Rng) -> StoreTrouble {
     match rng.u8(..3) {
         0 => StoreTrouble::Busy,
         1 => StoreTrouble::Throttled,
@@ -256,13 +260,13 @@
     }
 }
 
-fn draw_mood(rng: &mut fastrand::Rng) -> Mood {
+fn draw_target_trouble(rng: &mut fastrand::Rng) -> TargetTrouble {
     match rng.u8(..6) {
-        0 => Mood::Shedding,
-        1 => Mood::Losing,
-        2 => Mood::Breaking,
-        3 => Mood::Hanging,
-        4 => Mood::Doubling,
-        _ => Mood::Unsealed,
+        0 => TargetTrouble::Shedding,
+        1 => TargetTrouble::Losing,
+        2 => TargetTrouble::Breaking,
+        3 => TargetTrouble::Hanging,
+        4 => TargetTrouble::Doubling,
+        _ => TargetTrouble::Unsealed,
     }
 }
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -1,10 +1,10 @@
-//! What the system promises, held against what callers and targets saw.
+//! Checks of the system's promises against what callers and targets observed.
 
 use {
     crate::{
         finding::Finding,
-        ledger::{Asked, InstanceRun, Kind, Outcome, Run},
-        target::{DOUBLED_BODY, Limited, events_of},
+        observations::{InstanceRun, Outcome, RequestKind, RequestRecord, Run},
+        target::{DOUBLED_BODY, LimitedPeriod, event_count},
     },
     std::{
         collections::{HashMap, HashSet},
@@ -13,113 +13,120 @@
     whinlatch_platform_standins::{ACCOUNT, echo_event},
 };
 
-/// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
-/// Targets to which one request may go.
-const MOST_ATTEMPTS: usize = 2;
-/// Time over which the operators count what a target with a limit gets.
+/// Statuses that guarantee that a request hasn't run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Attempts of a request that may run more than once.
+const MAX_ATTEMPTS: usize = 2;
+/// Time window over which the operators count the requests to a target with a limit.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
-/// What they allow beyond the limit: a factor, and a number of requests.
-const LIMIT_SLACK: f64 = 1.5;
-const LIMIT_FREE: f64 = 5.0;
-/// Findings of a kind that are told; the rest is counted.
-const TOLD_FINDINGS: usize = 5;
+/// Factor by which the operators tolerate requests beyond the limit.
+const LIMIT_TOLERANCE: f64 = 1.5;
+/// Requests that they tolerate beside the factor.
+const LIMIT_BURST: f64 = 5.0;
+/// Findings of a promise that are reported one by one; the others are only counted.
+const MAX_REPORTED_FINDINGS: usize = 5;
 
-/// What was seen in a run.
+/// Observations of a run.
 #[derive(Debug)]
 pub struct Evidence {
-    /// Whether only planned work was done, which may cut nothing off.
+    /// Whether the run had planned work only, which may cut no request off.
     pub is_planned: bool,
-    /// All requests that are over.
-    pub asked: Vec<Asked>,
-    /// All runs at targets, by request.
+    /// All finished requests.
+    pub requests: Vec<RequestRecord>,
+    /// All executions by targets, by the id of the request.
     pub runs: HashMap<String, Vec<Run>>,
-    /// Bodies of the orders that each target got.
+    /// Bodies of the orders that each target received.
     pub orders: Vec<Vec<String>>,
-    /// What targets got while they named a limit, if the clock is to be held against it.
-    pub limited: Vec<Limited>,
-    /// Time within which each answer is due, if the clock is to be held against it.
-    pub due: Option<Duration>,
+    /// Arrivals at targets while they announced a limit; empty if times aren't checked.
+    pub limited: Vec<LimitedPeriod>,
+    /// Longest time that a response may take; `None` if times aren't checked.
+    pub max_response_time: Option<Duration>,
 }
 
-/// Holds all promises against what was seen.
-pub fn judge(evidence: &Evidence) -> Vec<Finding> {
+/// Checks all promises. Returns the findings, shortened to a few for each promise.
+pub fn check_promises(evidence: &Evidence) -> Vec<Finding> {
     let mut findings = Vec::new();
-    for asked in &evidence.asked {
-        let runs = evidence.runs.get(&asked.id).map_or(&[][..], Vec::as_slice);
+    for request in &evidence.requests {
+        let runs = evidence
+            .runs
+            .get(&request.id)
+            .map_or(&[][..], Vec::as_slice);
         let found = [
-            runs_as_often_as_it_may(asked, runs),
-            refusal_is_true(asked, runs),
-            answer_is_its_own(asked),
-            published_route_is_served(asked),
-            reaches_targets_unchanged(asked, runs),
-            planned_work_cuts_nothing(evidence, asked, runs),
-            answer_is_in_time(evidence, asked),
+            check_run_count(request, runs),
+            check_refusal(request, runs),
+            check_response_body(request),
+            check_route_served(request),
+            check_forwarded_unchanged(request, runs),
+            check_not_cut_off(evidence, request, runs),
+            check_response_time(evidence, request),
         ];
         findings.extend(found.into_iter().flatten());
     }
-    findings.extend(nothing_is_made_up(evidence));
-    findings.extend(versions_only_go_up(&evidence.asked));
-    findings.extend(memory_comes_back(evidence));
-    findings.extend(leaving_target_gets_nothing(evidence));
-    findings.extend(limits_are_kept(evidence));
-    shorten(findings)
+    findings.extend(check_runs_were_requested(evidence));
+    findings.extend(check_versions_increase(&evidence.requests));
+    findings.extend(check_memory_released(evidence));
+    findings.extend(check_leaving_targets(evidence));
+    findings.extend(check_limits(evidence));
+    cap_findings(findings)
 }
 
-fn runs_as_often_as_it_may(asked: &Asked, runs: &[Run]) -> Option<Finding> {
-    let most = if asked.kind == Kind::Unsafe {
+fn check_run_count(request: &RequestRecord, runs: &[Run]) -> Option<Finding> {
+    let max_runs = if request.kind == RequestKind::Unsafe {
         1
     } else {
-        MOST_ATTEMPTS
+        MAX_ATTEMPTS
     };
     let seen = || {
         format!(
             "{} ({:?}) ran {} times: {runs:?}",
-            asked.id,
-            asked.kind,
+            request.id,
+            request.kind,
             runs.len()
         )
     };
-    (runs.len() > most).then(|| Finding::new("runs as often as it may", seen()))
+    (runs.len() > max_runs).then(|| Finding::new("runs as often as it may", seen()))
 }
 
-fn refusal_is_true(asked: &Asked, runs: &[Run]) -> Option<Finding> {
-    let Outcome::Answered { status, .. } = asked.outcome else {
+fn check_refusal(request: &RequestRecord, runs: &[Run]) -> Option<Finding> {
+    let Outcome::Answered { status, .. } = request.outcome else {
         return None;
     };
-    let is_false = asked.kind == Kind::Unsafe && PROMISES.contains(&status) && !runs.is_empty();
-    let seen = || format!("{} was answered {status} and ran: {runs:?}", asked.id);
+    let is_false = request.kind == RequestKind::Unsafe
+        && NOT_RUN_STATUSES.contains(&status)
+        && !runs.is_empty();
+    let seen = || format!("{} was answered {status} and ran: {runs:?}", request.id);
     is_false.then(|| Finding::new("a refusal is true", seen()))
 }
 
-fn answer_is_its_own(asked: &Asked) -> Option<Finding> {
+/// Checks that a success is sealed and carries this request's own body.
+fn check_response_body(request: &RequestRecord) -> Option<Finding> {
     let Outcome::Answered {
         status: 200..300,
         is_sealed,
         is_whole,
         body,
-    } = &asked.outcome
+    } = &request.outcome
     else {
         return None;
     };
-    let is_right = match asked.kind {
-        Kind::Stream => is_own_stream(&asked.id, body, *is_whole),
-        Kind::Safe | Kind::Unsafe | Kind::Probe { .. } => {
-            !is_whole || *body == asked.id || body == DOUBLED_BODY
+    let is_right = match request.kind {
+        RequestKind::Stream => is_own_stream(&request.id, body, *is_whole),
+        RequestKind::Safe | RequestKind::Unsafe | RequestKind::Probe { .. } => {
+            !is_whole || *body == request.id || body == DOUBLED_BODY
         }
     };
     let seen = || {
         format!(
             "{} ({:?}) sealed={is_sealed} whole={is_whole} got {body:?}",
-            asked.id, asked.kind
+            request.id, request.kind
         )
     };
     (!is_right || !is_sealed).then(|| Finding::new("an answer is whole and one's own", seen()))
 }
 
-/// Whether each event is there once and in order, and all of them if the stream ends well.
+/// Returns whether the stream has its events once and in order, and all of them if it is complete.
 fn is_own_stream(id: &str, body: &str, is_whole: bool) -> bool {
-    let events: Vec<String> = (1..=events_of(id))
+    let events: Vec<String> = (1..=event_count(id))
         .map(|number| format!("id: {number}\ndata: {}\n\n", echo_event(id, number)))
         .collect();
     let expected = events.concat();
@@ -130,31 +137,36 @@
     }
 }
 
-fn published_route_is_served(asked: &Asked) -> Option<Finding> {
-    let Outcome::Answered { status, .. } = asked.outcome else {
+fn check_route_served(request: &RequestRecord) -> Option<Finding> {
+    let Outcome::Answered { status, .. } = request.outcome else {
         return None;
     };
-    let is_own_fault = matches!(status, 300..500) && !PROMISES.contains(&status);
-    let is_probe = matches!(asked.kind, Kind::Probe { .. });
-    let seen = || format!("{} ({:?}) was answered {status}", asked.id, asked.kind);
-    (is_own_fault && !is_probe).then(|| Finding::new("a published route is served", seen()))
+    let is_entry_error = matches!(status, 300..500) && !NOT_RUN_STATUSES.contains(&status);
+    let is_probe = matches!(request.kind, RequestKind::Probe { .. });
+    let seen = || format!("{} ({:?}) was answered {status}", request.id, request.kind);
+    (is_entry_error && !is_probe).then(|| Finding::new("a published route is served", seen()))
 }
 
-fn reaches_targets_unchanged(asked: &Asked, runs: &[Run]) -> Option<Finding> {
+fn check_forwarded_unchanged(request: &RequestRecord, runs: &[Run]) -> Option<Finding> {
     let wrong = runs
         .iter()
-        .find(|run| run.path != asked.path || run.account != ACCOUNT || run.has_key)?;
-    let seen = format!("{} reached a target as {wrong:?}", asked.id);
+        .find(|run| run.path != request.path || run.account != ACCOUNT || run.has_key)?;
+    let seen = format!("{} reached a target as {wrong:?}", request.id);
     Some(Finding::new("a request reaches targets unchanged", seen))
 }
 
-/// Requests that cross the end of an idle connection and reach nobody are their callers' to repeat.
-fn planned_work_cuts_nothing(evidence: &Evidence, asked: &Asked, runs: &[Run]) -> Option<Finding> {
+/// Checks that planned work cuts no request off. A request on a reused connection that crosses the
+/// connection's close and reaches no target is exempt: its caller has to send it again.
+fn check_not_cut_off(
+    evidence: &Evidence,
+    request: &RequestRecord,
+    runs: &[Run],
+) -> Option<Finding> {
     if !evidence.is_planned {
         return None;
     }
-    let is_cut = match &asked.outcome {
-        Outcome::NotSent | Outcome::Closed => !(asked.was_kept && runs.is_empty()),
+    let is_cut = match &request.outcome {
+        Outcome::NotSent | Outcome::Closed => !(request.was_kept && runs.is_empty()),
         Outcome::Silent => true,
         Outcome::Left => false,
         Outcome::Answered {
@@ -164,33 +176,34 @@
     let seen = || {
         format!(
             "{} ({:?}) at {:?} ended as {:?} after {:?}, with runs {runs:?}",
-            asked.id,
-            asked.kind,
-            asked.run,
-            asked.outcome,
-            asked.ended_at - asked.sent_at
+            request.id,
+            request.kind,
+            request.run,
+            request.outcome,
+            request.ended_at - request.sent_at
         )
     };
     is_cut.then(|| Finding::new("planned work cuts nothing off", seen()))
 }
 
-fn answer_is_in_time(evidence: &Evidence, asked: &Asked) -> Option<Finding> {
-    let due = evidence.due.filter(|_| evidence.is_planned)?;
-    let took = asked.ended_at - asked.sent_at;
-    let seen = || format!("{} ({:?}) took {took:?}", asked.id, asked.kind);
-    (took > due).then(|| Finding::new("an answer is in time", seen()))
+fn check_response_time(evidence: &Evidence, request: &RequestRecord) -> Option<Finding> {
+    let max_time = evidence.max_response_time.filter(|_| evidence.is_planned)?;
+    let took = request.ended_at - request.sent_at;
+    let seen = || format!("{} ({:?}) took {took:?}", request.id, request.kind);
+    (took > max_time).then(|| Finding::new("an answer is in time", seen()))
 }
 
-fn nothing_is_made_up(evidence: &Evidence) -> Vec<Finding> {
-    let asked: HashSet<&str> = evidence
-        .asked
+/// Checks that targets ran only requests that a caller sent.
+fn check_runs_were_requested(evidence: &Evidence) -> Vec<Finding> {
+    let sent: HashSet<&str> = evidence
+        .requests
         .iter()
-        .map(|asked| asked.id.as_str())
+        .map(|request| request.id.as_str())
         .collect();
     let unknown = evidence
         .runs
         .iter()
-        .filter(|(id, _)| !asked.contains(id.as_str()));
+        .filter(|(id, _)| !sent.contains(id.as_str()));
     unknown
         .map(|(id, runs)| {
             Finding::new(
@@ -201,12 +214,12 @@
         .collect()
 }
 
-/// An answer of a route that one version has shows that this version was in force in the run; a
-/// later request of the same run must not find an older one.
-fn versions_only_go_up(asked: &[Asked]) -> Vec<Finding> {
-    let mut seen: HashMap<InstanceRun, Vec<(Instant, Instant, u64)>> = HashMap::new();
-    for probe in asked {
-        let Kind::Probe { version } = probe.kind else {
+/// Checks that the configuration of an instance's run never reverts. A response from a route that only one
+/// version has shows that this version was active; an older one must not serve a later request to the same run.
+fn check_versions_increase(requests: &[RequestRecord]) -> Vec<Finding> {
+    let mut served: HashMap<InstanceRun, Vec<(Instant, Instant, u64)>> = HashMap::new();
+    for probe in requests {
+        let RequestKind::Probe { version } = probe.kind else {
             continue;
         };
         let is_served = matches!(
@@ -218,16 +231,16 @@
         );
         if let (Some(run), true) = (probe.run, is_served) {
             let span = (probe.sent_at, probe.ended_at, version);
-            seen.entry(run).or_default().push(span);
+            served.entry(run).or_default().push(span);
         }
     }
     let mut findings = Vec::new();
-    for (run, spans) in seen {
+    for (run, spans) in served {
         for (_, ended_at, newer) in &spans {
-            let back = spans
+            let reverted = spans
                 .iter()
                 .find(|(sent_at, _, version)| version < newer && sent_at > ended_at);
-            if let Some((_, _, older)) = back {
+            if let Some((_, _, older)) = reverted {
                 let seen = format!("{run:?} served by version {older} after version {newer}");
                 findings.push(Finding::new("a configuration never reverts", seen));
             }
@@ -236,45 +249,58 @@
     findings
 }
 
-/// An answer that says that its target leaves has passed through an instance; what is sent to the same run of the
-/// instance after that goes elsewhere.
-fn leaving_target_gets_nothing(evidence: &Evidence) -> Vec<Finding> {
-    let mut told: HashMap<(InstanceRun, &str), Instant> = HashMap::new();
-    for asked in evidence.asked.iter().filter(|asked| asked.names_leaving) {
-        let runs = evidence.runs.get(&asked.id).map_or(&[][..], Vec::as_slice);
-        if let (Some(run), [only]) = (asked.run, runs) {
-            let first = told.entry((run, &only.target)).or_insert(asked.ended_at);
-            *first = asked.ended_at.min(*first);
+/// Checks that a run of an instance sends no new requests to a target that announced its leaving in a
+/// response through this run.
+fn check_leaving_targets(evidence: &Evidence) -> Vec<Finding> {
+    let mut announced: HashMap<(InstanceRun, &str), Instant> = HashMap::new();
+    for request in evidence
+        .requests
+        .iter()
+        .filter(|request| request.names_leaving)
+    {
+        let runs = evidence
+            .runs
+            .get(&request.id)
+            .map_or(&[][..], Vec::as_slice);
+        if let (Some(run), [only]) = (request.run, runs) {
+            let first = announced
+                .entry((run, &only.target))
+                .or_insert(request.ended_at);
+            *first = request.ended_at.min(*first);
         }
     }
     let mut findings = Vec::new();
-    for asked in &evidence.asked {
-        let Some(instance) = asked.run else { continue };
-        let runs = evidence.runs.get(&asked.id).into_iter().flatten();
+    for request in &evidence.requests {
+        let Some(instance) = request.run else {
+            continue;
+        };
+        let runs = evidence.runs.get(&request.id).into_iter().flatten();
         let late = runs.filter(|run| {
-            let first = told.get(&(instance, run.target.as_str()));
-            first.is_some_and(|first| asked.sent_at > *first)
+            let first = announced.get(&(instance, run.target.as_str()));
+            first.is_some_and(|first| request.sent_at > *first)
         });
         findings.extend(late.map(|run| {
-            let seen = format!("{} reached {} through {instance:?}", asked.id, run.target);
+            let seen = format!("{} reached {} through {instance:?}", request.id, run.target);
             Finding::new("a leaving target gets nothing new", seen)
         }));
     }
     findings
 }
 
-/// An instance that has just been told or started is excused, so that only planned work, after which each new
-/// one is told by the others, shows a limit that isn't kept.
-fn limits_are_kept(evidence: &Evidence) -> Vec<Finding> {
+/// Checks the limits that targets announced, in runs with planned work only: there, an instance that starts
+/// learns of a limit from its peers. After faults, an instance may exceed a limit because it has just started or
+/// just learnt of the limit.
+fn check_limits(evidence: &Evidence) -> Vec<Finding> {
     if !evidence.is_planned {
         return Vec::new();
     }
-    let most = |per_s: f64| LIMIT_SLACK * LIMIT_WINDOW.as_secs_f64() * per_s + LIMIT_FREE;
-    let kept = evidence.limited.iter().map(|limited| {
-        let arrived = most_within(&limited.arrived_at, LIMIT_WINDOW);
+    let allowed = |per_s: f64| LIMIT_TOLERANCE * LIMIT_WINDOW.as_secs_f64() * per_s + LIMIT_BURST;
+    let counted = evidence.limited.iter().map(|limited| {
+        let arrived = max_within(&limited.arrived_at, LIMIT_WINDOW);
         (limited, arrived)
     });
-    kept.filter(|(limited, arrived)| *arrived as f64 > most(limited.per_s))
+    counted
+        .filter(|(limited, arrived)| *arrived as f64 > allowed(limited.per_s))
         .map(|(limited, arrived)| {
             let seen = format!("{arrived} in four seconds at {} a second", limited.per_s);
             Finding::new("a limit is kept", seen)
@@ -282,8 +308,8 @@
         .collect()
 }
 
-/// Most moments within any span of a length.
-fn most_within(moments: &[Instant], length: Duration) -> usize {
+/// Returns the largest number of moments within any window of a length. The moments are in order.
+fn max_within(moments: &[Instant], length: Duration) -> usize {
     let ends = moments.iter().enumerate();
     ends.map(|(end, at)| {
         let first = moments.partition_point(|other| *other + length <= *at);
@@ -293,22 +319,27 @@
     .unwrap_or(0)
 }
 
-/// Each memory that was set aside is given back, where nobody dies on the way.
-fn memory_comes_back(evidence: &Evidence) -> Vec<Finding> {
+/// Checks that all reserved memory is released, in runs with planned work only: after a kill, it expires
+/// instead.
+fn check_memory_released(evidence: &Evidence) -> Vec<Finding> {
     if !evidence.is_planned {
         return Vec::new();
     }
-    let kept = evidence.orders.iter().map(|orders| kept_memory(orders));
-    kept.filter(|kept| !kept.is_empty())
-        .map(|kept| {
-            let seen = format!("{} were never given back: {kept:?}", kept.len());
+    let unreleased = evidence
+        .orders
+        .iter()
+        .map(|orders| unreleased_memory(orders));
+    unreleased
+        .filter(|ids| !ids.is_empty())
+        .map(|ids| {
+            let seen = format!("{} were never given back: {ids:?}", ids.len());
             Finding::new("memory comes back", seen)
         })
         .collect()
 }
 
-/// Ids of the memory that a target was ordered to set aside and not to give back.
-pub fn kept_memory(orders: &[String]) -> Vec<String> {
+/// Returns the ids of reservations that a target was ordered to make and not to release.
+pub fn unreleased_memory(orders: &[String]) -> Vec<String> {
     let with = |operation: &str| -> HashSet<String> {
         orders
             .iter()
@@ -317,24 +348,24 @@
             .filter_map(|order| order["Id"].as_str().map(str::to_owned))
             .collect()
     };
-    let given_back = with("release");
-    with("reserve").difference(&given_back).cloned().collect()
+    let released = with("release");
+    with("reserve").difference(&released).cloned().collect()
 }
 
-/// Tells a few findings of each promise, and how many there are.
-fn shorten(findings: Vec<Finding>) -> Vec<Finding> {
+/// Keeps the first findings of each promise, and adds their count if there are more.
+fn cap_findings(findings: Vec<Finding>) -> Vec<Finding> {
     let mut counts: HashMap<&'static str, usize> = HashMap::new();
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     for finding in findings {
         let count = counts.entry(finding.promise).or_default();
         *count += 1;
-        if *count <= TOLD_FINDINGS {
-            told.push(finding);
+        if *count <= MAX_REPORTED_FINDINGS {
+            reported.push(finding);
         }
     }
     let more = counts
         .into_iter()
-        .filter(|(_, count)| *count > TOLD_FINDINGS);
-    told.extend(more.map(|(promise, count)| Finding::new(promise, format!("{count} in all"))));
-    told
+        .filter(|(_, count)| *count > MAX_REPORTED_FINDINGS);
+    reported.extend(more.map(|(promise, count)| Finding::new(promise, format!("{count} in all"))));
+    reported
 }
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/simulated_caller.rs
@@ -1,10 +1,11 @@
-//! Callers: they ask which instances to use, keep connections, ask, leave and come again.
+//! Simulated callers: they resolve the addresses of instances, reuse connections, send requests, abandon
+//! streams and reconnect.
 
 use {
     crate::{
+        environment::{Environment, TIMEOUT_MS},
         flag::Flag,
-        ledger::{Asked, InstanceRun, Kind, Outcome},
-        world::{TIMEOUT_MS, World},
+        observations::{InstanceRun, Outcome, RequestKind, RequestRecord},
     },
     std::time::{Duration, Instant},
     whinlatch_platform_standins::{
@@ -13,41 +14,43 @@
     },
 };
 
-/// Most that a caller waits for anything: well over the time that a request has.
+/// Longest time for which a caller waits for a connection or for bytes: far over the route's timeout.
 const PATIENCE: Duration = Duration::from_millis(3 * TIMEOUT_MS);
-/// Time for which a caller keeps the list of instances.
-const LIST_LIFE: Duration = Duration::from_millis(800);
-/// Longest time between two requests of a caller, in ms.
-const THINK_MS: u64 = 60;
-/// Share of the streams that their caller leaves, in hundredths.
+/// Time for which a caller caches the list of instances.
+const LIST_TTL: Duration = Duration::from_millis(800);
+/// Upper bound of the think time of a caller between two requests, in ms.
+const MAX_THINK_MS: u64 = 60;
+/// Percentage of the streams that their caller abandons.
 const LEAVE_PERCENT: u8 = 8;
-/// Tenths of the requests that are all alike, as those for something popular.
+/// Tenths of the prompts that share one path, like those for popular content.
 const POPULAR_TENTHS: u8 = 4;
-/// Lengths of prompts, in tokens: short, read by several engines, larger than an engine's memory.
+/// Lengths of prompts, in tokens: short, long enough to be read by several engines, larger than the memory of
+/// an engine.
 const PROMPT_TOKENS: [u64; 4] = [2_000, 5_000, 120_000, 700_000];
 
-/// A caller's connection and where it leads.
+/// A caller's connection and the run of the instance that it leads to.
 struct Connection {
     caller: Caller,
     instance: usize,
     run: InstanceRun,
+    /// Whether it has carried a request before.
     has_carried: bool,
 }
 
-/// One caller.
-pub struct Load<'a> {
-    world: &'a World,
+/// A simulated caller with one connection at a time.
+pub struct SimulatedCaller<'a> {
+    environment: &'a Environment,
     rng: fastrand::Rng,
     connection: Option<Connection>,
     list: Vec<usize>,
     listed_at: Option<Instant>,
 }
 
-impl<'a> Load<'a> {
-    /// A caller whose choices follow from a seed.
-    pub fn new(world: &'a World, seed: u64) -> Self {
+impl<'a> SimulatedCaller<'a> {
+    /// Returns a caller that draws its choices by `seed`.
+    pub fn new(environment: &'a Environment, seed: u64) -> Self {
         Self {
-            world,
+            environment,
             rng: fastrand::Rng::with_seed(seed),
             connection: None,
             list: Vec::new(),
@@ -55,64 +58,64 @@
         }
     }
 
-    /// Asks one request after the other until told to stop.
+    /// Sends one request after the other until `is_over` is set.
     pub fn run(&mut self, is_over: &Flag) {
         loop {
-            let think_ms = self.rng.u64(..THINK_MS);
+            let think_ms = self.rng.u64(..MAX_THINK_MS);
             if is_over.wait(Duration::from_millis(think_ms)) {
                 return;
             }
             self.refresh_list();
-            let (kind, ask) = self.draw_request();
-            if let Some(asked) = self.ask(kind, &ask) {
-                self.world.ledger.note_asked(asked);
+            let (kind, request) = self.draw_request();
+            if let Some(record) = self.send(kind, &request) {
+                self.environment.observations.record_request(record);
             }
         }
     }
 
-    /// Whether a call to one instance is served.
+    /// Sends a call to one instance and returns whether it is served.
     pub fn is_served_by(&mut self, instance: usize) -> bool {
         self.list = vec![instance];
         self.listed_at = Some(Instant::now());
-        let ask = Ask::new("GET", format!("{SAFE_PREFIX}0"));
-        let asked = self.ask(Kind::Safe, &ask);
-        let is_served = asked
+        let request = Ask::new("GET", format!("{SAFE_PREFIX}0"));
+        let record = self.send(RequestKind::Safe, &request);
+        let is_served = record
             .as_ref()
-            .is_some_and(|asked| matches!(asked.outcome, Outcome::Answered { status: 200, .. }));
-        if let Some(asked) = asked {
-            self.world.ledger.note_asked(asked);
+            .is_some_and(|record| matches!(record.outcome, Outcome::Answered { status: 200, .. }));
+        if let Some(record) = record {
+            self.environment.observations.record_request(record);
         }
         is_served
     }
 
     fn refresh_list(&mut self) {
-        if self.listed_at.is_some_and(|at| at.elapsed() < LIST_LIFE) && !self.list.is_empty() {
+        if self.listed_at.is_some_and(|at| at.elapsed() < LIST_TTL) && !self.list.is_empty() {
             return;
         }
-        let asked = self.rng.usize(..self.world.instances());
-        if let Some(list) = self.world.resolve(asked) {
+        let instance = self.rng.usize(..self.environment.instance_count());
+        if let Some(list) = self.environment.resolve(instance) {
             self.list = list;
             self.listed_at = Some(Instant::now());
         }
     }
 
-    /// One request; `None` if there is nobody to ask.
-    fn ask(&mut self, kind: Kind, ask: &Ask) -> Option<Asked> {
+    /// Sends a request and returns its record; `None` if no instance accepts a connection.
+    fn send(&mut self, kind: RequestKind, request: &Ask) -> Option<RequestRecord> {
         let mut connection = self.connect()?;
         let was_kept = connection.has_carried;
-        let leaves = kind == Kind::Stream && self.rng.u8(..100) < LEAVE_PERCENT;
+        let leaves = kind == RequestKind::Stream && self.rng.u8(..100) < LEAVE_PERCENT;
         let sent_at = Instant::now();
-        let outcome = exchange(&mut connection.caller, ask, leaves);
+        let outcome = exchange(&mut connection.caller, request, leaves);
         let run = connection.run;
-        let is_same_run = self.world.run(connection.instance) == run;
+        let is_same_run = self.environment.current_run(connection.instance) == run;
         connection.has_carried = true;
         if outcome.keeps_open {
             self.connection = Some(connection);
         }
-        Some(Asked {
-            id: ask.id.clone(),
+        Some(RequestRecord {
+            id: request.id.clone(),
             kind,
-            path: ask.path.clone(),
+            path: request.path.clone(),
             run: is_same_run.then_some(run),
             was_kept,
             sent_at,
@@ -130,8 +133,9 @@
             return Some(connection);
         }
         let instance = *self.list.get(self.rng.usize(..self.list.len().max(1)))?;
-        let run = self.world.run(instance);
-        let Ok(caller) = Caller::try_connect(self.world.callers(instance), PATIENCE) else {
+        let run = self.environment.current_run(instance);
+        let Ok(caller) = Caller::try_connect(self.environment.caller_address(instance), PATIENCE)
+        else {
             self.list.retain(|other| *other != instance);
             return None;
         };
@@ -143,24 +147,27 @@
         })
     }
 
-    fn draw_request(&mut self) -> (Kind, Ask) {
+    fn draw_request(&mut self) -> (RequestKind, Ask) {
         match self.rng.u8(..10) {
-            0..3 => (Kind::Safe, Ask::new("GET", format!("{SAFE_PREFIX}listing"))),
+            0..3 => (
+                RequestKind::Safe,
+                Ask::new("GET", format!("{SAFE_PREFIX}listing")),
+            ),
             3..6 => (
-                Kind::Unsafe,
+                RequestKind::Unsafe,
                 Ask::new("POST", format!("{CALL_PREFIX}label")),
             ),
-            6..8 => (Kind::Stream, self.draw_prompt()),
+            6..8 => (RequestKind::Stream, self.draw_prompt()),
             _ => {
-                let newest = self.world.version();
+                let newest = self.environment.version();
                 let version = newest.saturating_sub(self.rng.u64(..2)).max(1);
-                let path = format!("{}x", World::probe_prefix(version));
-                (Kind::Probe { version }, Ask::new("GET", path))
+                let path = format!("{}x", Environment::probe_prefix(version));
+                (RequestKind::Probe { version }, Ask::new("GET", path))
             }
         }
     }
 
-    /// A path below a prefix: a popular one, or one of many.
+    /// Draws a path below a prefix: the popular one, or one of many.
     fn draw_path(&mut self, prefix: &str) -> String {
         let number = match self.rng.u8(..10) {
             ..POPULAR_TENTHS => 0,
@@ -176,30 +183,32 @@
     }
 }
 
-struct Exchanged {
+/// Outcome of a request, and whether its connection can be reused.
+struct ExchangeResult {
     seen: Outcome,
     names_leaving: bool,
     keeps_open: bool,
 }
 
-fn exchange(caller: &mut Caller, ask: &Ask, leaves: bool) -> Exchanged {
-    let over = |seen| Exchanged {
+/// Sends a request and reads the response, or leaves after its first bytes.
+fn exchange(caller: &mut Caller, request: &Ask, leaves: bool) -> ExchangeResult {
+    let failed = |seen| ExchangeResult {
         seen,
         names_leaving: false,
         keeps_open: false,
     };
-    if caller.send(ask).is_err() {
-        return over(Outcome::NotSent);
+    if caller.send(request).is_err() {
+        return failed(Outcome::NotSent);
     }
     if leaves {
-        // The connection ends with the caller, which is dropped.
+        // Dropping the caller closes the connection.
         caller.read_some();
-        return over(Outcome::Left);
+        return failed(Outcome::Left);
     }
     let began = Instant::now();
     let Some(answer) = caller.read() else {
         let is_silent = began.elapsed() >= PATIENCE;
-        return over(if is_silent {
+        return failed(if is_silent {
             Outcome::Silent
         } else {
             Outcome::Closed
@@ -209,7 +218,7 @@
         && answer
             .header("Connection")
             .is_none_or(|value| !value.eq_ignore_ascii_case("close"));
-    Exchanged {
+    ExchangeResult {
         keeps_open,
         names_leaving: answer.header(LEAVING_HEADER).is_some(),
         seen: Outcome::Answered {
--- a/crates/soak/src/target.rs
+++ b/crates/soak/src/target.rs
@@ -1,9 +1,9 @@
-//! Targets, each behind a relay: what they do to requests, and how they crash and come back.
+//! Stand-ins of targets, each behind a relay, and how they behave towards requests.
 
 use {
     crate::{
-        ledger::{Ledger, Run, lock},
-        plan::{Disturbance, Mood},
+        observations::{Observations, Run, lock},
+        plan::{Disturbance, TargetTrouble},
     },
     async_std::task,
     std::{
@@ -20,26 +20,28 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Share of its requests to which a moody target does something wrong, in hundredths.
-const MOODY_PERCENT: u64 = 60;
-/// Events of a stream: at least, and how many more some have.
-const EVENTS: (u64, u64) = (3, 17);
-/// Body of the answer of a target that answers twice.
+/// Percentage of its requests towards which a target with a trouble misbehaves.
+const AFFECTED_PERCENT: u64 = 60;
+/// Smallest number of events of a stream.
+const MIN_EVENTS: u64 = 3;
+/// Number of different lengths of streams, from [`MIN_EVENTS`] on.
+const STREAM_LENGTHS: u64 = 17;
+/// Body of the first response of a target that sends two.
 pub const DOUBLED_BODY: &str = "the first of two";
-/// Time for which a target wants nothing, in s.
+/// Time for which a pausing target asks to get no requests, in s.
 const PAUSE_S: &str = "0.8";
-/// Time from a target's first word of a limit until it is held against instances: that which the operators give
-/// them, and half a second for the answers on their way.
+/// Time from a target's first announcement of a limit until its requests are counted: the time that the
+/// operators grant, and half a second for responses in flight.
 const LIMIT_GRACE: Duration = Duration::from_millis(3_500);
-/// Time between two events, in ms.
+/// Time between two events of a stream, in ms.
 const EVENT_PAUSE_MS: u64 = 15;
 
-/// Number of events that a prompt's answer has, which follows from its request's id.
-pub fn events_of(request_id: &str) -> u64 {
-    EVENTS.0 + hash(request_id) % EVENTS.1
+/// Returns the number of events of the answer to a prompt, which depends on the request's id alone.
+pub fn event_count(request_id: &str) -> u64 {
+    MIN_EVENTS + hash(request_id) % STREAM_LENGTHS
 }
 
-/// Sets what happens to the connections of a relay; `None` heals it.
+/// Disturbs the connections of a relay; `None` lets bytes pass again.
 pub fn disturb(relay: &Relay, disturbance: Option<Disturbance>) {
     let mode = match disturbance {
         None => RelayMode::Pass,
@@ -57,126 +59,133 @@
 ///
 /// # Errors
 /// Loopback has no free port.
-pub fn relay_to(to: SocketAddr) -> io::Result<Relay> {
+pub fn start_relay(to: SocketAddr) -> io::Result<Relay> {
     task::block_on(Relay::start(RelayOptions {
         to,
         ..RelayOptions::default()
     }))
 }
 
-/// What a target got while it named a limit.
+/// Requests to a target while it announced a limit.
 #[derive(Debug, Clone)]
-pub struct Limited {
-    /// Requests a second that it takes.
+pub struct LimitedPeriod {
+    /// Announced limit, in requests per second.
     pub per_s: f64,
-    /// When requests, orders and questions arrived, in order.
+    /// Arrivals of requests, orders and reads of the report, in order, from `LIMIT_GRACE` on.
     pub arrived_at: Vec<Instant>,
 }
 
-/// A target and the relay through which instances reach it.
+/// Stand-in of a target and the relay through which instances reach it.
 #[derive(Debug)]
 pub struct Target {
-    /// The relay.
+    /// Relay whose address is published as the target's.
     pub relay: Relay,
-    /// The service that it belongs to.
+    /// Service that it belongs to.
     pub service: &'static str,
-    /// Name of its present run.
+    /// Name under which it is published.
     pub id: String,
-    /// When its present run began, in Unix ms, where it says so.
+    /// Unix time at which its current run started, in ms; `None` until its first restart.
     pub started_at_ms: Option<u64>,
-    /// Whether it has announced that it leaves.
+    /// Whether it has published that it is leaving.
     pub is_leaving: bool,
-    /// Whether it says in its answers that it leaves, which isn't published.
+    /// Whether it announces only in its responses that it is leaving.
     pub leaves_unpublished: bool,
     /// Whether it has crashed.
     pub is_down: bool,
-    limited: Option<(f64, Instant)>,
-    mood: Arc<Mutex<Option<Mood>>>,
+    /// Announced limit per second, and since when.
+    limit: Option<(f64, Instant)>,
+    trouble: Arc<Mutex<Option<TargetTrouble>>>,
     standin: TargetStandin,
 }
 
 impl Target {
-    /// A target that serves.
+    /// Starts a target that serves all requests.
     ///
     /// # Errors
     /// Loopback has no free port.
-    pub fn start(id: String, is_engine: bool, ledger: &Arc<Ledger>) -> io::Result<Self> {
-        let mood = Arc::new(Mutex::new(None));
+    pub fn start(
+        id: String,
+        is_engine: bool,
+        observations: &Arc<Observations>,
+    ) -> io::Result<Self> {
+        let trouble = Arc::new(Mutex::new(None));
         let standin = TargetStandin::start_choosing(&id, {
-            let (mood, ledger, id) = (Arc::clone(&mood), Arc::clone(ledger), id.clone());
-            move |request| choose(request, &id, is_engine, *lock(&mood), &ledger)
+            let (trouble, observations, id) =
+                (Arc::clone(&trouble), Arc::clone(observations), id.clone());
+            move |request| choose_behaviour(request, &id, is_engine, *lock(&trouble), &observations)
         });
         Ok(Self {
-            relay: relay_to(standin.address())?,
+            relay: start_relay(standin.address())?,
             service: if is_engine { ENGINES } else { PLAIN },
             id,
             started_at_ms: None,
             is_leaving: false,
             leaves_unpublished: false,
-            limited: None,
+            limit: None,
             is_down: false,
-            mood,
+            trouble,
             standin,
         })
     }
 
-    /// Where instances reach it.
+    /// Returns the address of its relay.
     pub fn address(&self) -> SocketAddr {
         self.relay.address()
     }
 
-    /// Sets what it does wrong.
-    pub fn set_mood(&self, mood: Option<Mood>) {
-        *lock(&self.mood) = mood;
+    /// Sets its misbehaviour; `None` ends it.
+    pub fn set_trouble(&self, trouble: Option<TargetTrouble>) {
+        *lock(&self.trouble) = trouble;
     }
 
-    /// Has it name a limit, unless it does.
-    pub fn limit(&mut self, per_s: f64) {
-        if self.limited.is_none() {
-            self.limited = Some((per_s, Instant::now()));
+    /// Announces a limit, unless one is announced already.
+    pub fn begin_limit(&mut self, per_s: f64) {
+        if self.limit.is_none() {
+            self.limit = Some((per_s, Instant::now()));
             self.standin.set_limit(Some(per_s));
         }
     }
 
-    /// Ends its limit. Returns what it got meanwhile.
-    pub fn unlimit(&mut self) -> Option<Limited> {
-        let (per_s, since) = self.limited.take()?;
+    /// Ends the limit. Returns the arrivals during it; `None` if no limit was announced.
+    pub fn end_limit(&mut self) -> Option<LimitedPeriod> {
+        let (per_s, since) = self.limit.take()?;
         self.standin.set_limit(None);
         let mut arrived_at = self.standin.arrived_at();
         arrived_at.retain(|at| *at >= since + LIMIT_GRACE);
-        Some(Limited { per_s, arrived_at })
+        Some(LimitedPeriod { per_s, arrived_at })
     }
 
-    /// Has it say in its answers that it leaves.
-    pub fn leave(&mut self) {
+    /// Announces in all further responses that it is leaving.
+    pub fn announce_leaving(&mut self) {
         self.leaves_unpublished = true;
         self.standin.leave();
     }
 
-    /// Bodies of the orders that it got.
+    /// Returns the bodies of the orders that it received.
     pub fn orders(&self) -> Vec<String> {
         self.standin.orders()
     }
 }
 
-fn choose(
+/// Records an executed request, and returns the behaviour towards it.
+fn choose_behaviour(
     request: &Request,
     target: &str,
     is_engine: bool,
-    mood: Option<Mood>,
-    ledger: &Ledger,
+    trouble: Option<TargetTrouble>,
+    observations: &Observations,
 ) -> Behaviour {
     let id = request.header(REQUEST_ID_HEADER).unwrap_or_default();
-    let is_struck = hash(&format!("{id} {target}")) % 100 < MOODY_PERCENT;
-    let mood = mood.filter(|_| is_struck);
-    if mood == Some(Mood::Shedding) {
+    let is_affected = hash(&format!("{id} {target}")) % 100 < AFFECTED_PERCENT;
+    let trouble = trouble.filter(|_| is_affected);
+    if trouble == Some(TargetTrouble::Shedding) {
         return Behaviour::Shed;
     }
-    if mood == Some(Mood::Pausing) {
+    if trouble == Some(TargetTrouble::Pausing) {
         return Behaviour::Pause(PAUSE_S);
     }
     let account = request.header(ACCOUNT_HEADER).unwrap_or_default();
-    ledger.note_run(
+    observations.record_run(
         id,
         Run {
             target: target.to_owned(),
@@ -186,7 +195,7 @@
             at: Instant::now(),
         },
     );
-    let last = events_of(id);
+    let last = event_count(id);
     let stream = |breaks_after| {
         Behaviour::EchoStream(EchoStream {
             last,
@@ -194,19 +203,25 @@
             breaks_after,
         })
     };
-    match mood {
-        Some(Mood::Losing) => Behaviour::LoseAnswer,
-        Some(Mood::Hanging) => Behaviour::Hang,
-        Some(Mood::Unsealed) => Behaviour::Unsealed,
-        Some(Mood::Breaking) if is_engine => stream(Some(hash(id) % last)),
-        Some(Mood::Breaking) => Behaviour::Short("half"),
-        Some(Mood::Doubling) if !is_engine => Behaviour::AnswerTwice(DOUBLED_BODY),
-        Some(Mood::Doubling | Mood::Shedding | Mood::Pausing) | None if is_engine => stream(None),
-        Some(Mood::Doubling | Mood::Shedding | Mood::Pausing) | None => Behaviour::Echo,
+    match trouble {
+        Some(TargetTrouble::Losing) => Behaviour::LoseAnswer,
+        Some(TargetTrouble::Hanging) => Behaviour::Hang,
+        Some(TargetTrouble::Unsealed) => Behaviour::Unsealed,
+        Some(TargetTrouble::Breaking) if is_engine => stream(Some(hash(id) % last)),
+        Some(TargetTrouble::Breaking) => Behaviour::Short("half"),
+        Some(TargetTrouble::Doubling) if !is_engine => Behaviour::AnswerTwice(DOUBLED_BODY),
+        Some(TargetTrouble::Doubling | TargetTrouble::Shedding | TargetTrouble::Pausing) | None
+            if is_engine =>
+        {
+            stream(None)
+        }
+        Some(TargetTrouble::Doubling | TargetTrouble::Shedding | TargetTrouble::Pausing) | None => {
+            Behaviour::Echo
+        }
     }
 }
 
-/// A hash that is the same in each run.
+/// Hashes a text to a value that is the same in each process.
 fn hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Each promise that the soak holds against a run is found broken when it is.
+//! Each check of the soak test reports a finding when its promise is broken.
 
 use {
     std::{
@@ -7,7 +7,8 @@
     },
     whinlatch_platform_standins::ACCOUNT,
     whinlatch_soak::{
-        Asked, Evidence, InstanceRun, Kind, Limited, Outcome, Plan, Run, Size, Trouble, judge,
+        Evidence, InstanceRun, LimitedPeriod, Outcome, Plan, RequestKind, RequestRecord, Run,
+        RunParameters, Trouble, check_promises,
     },
 };
 
@@ -27,9 +28,9 @@
     }
 }
 
-fn asked(kind: Kind, outcome: Outcome) -> Asked {
+fn request(kind: RequestKind, outcome: Outcome) -> RequestRecord {
     let sent_at = Instant::now();
-    Asked {
+    RequestRecord {
         id: ID.to_owned(),
         kind,
         path: PATH.to_owned(),
@@ -52,61 +53,64 @@
     }
 }
 
-fn label_run(target: &str) -> Run {
+fn call_run(target: &str) -> Run {
     run_at(target, PATH)
 }
 
-fn evidence(asked: Vec<Asked>, runs: Vec<Run>) -> Evidence {
+fn evidence(requests: Vec<RequestRecord>, runs: Vec<Run>) -> Evidence {
     Evidence {
         is_planned: true,
-        asked,
+        requests,
         runs: HashMap::from([(ID.to_owned(), runs)]),
         orders: Vec::new(),
         limited: Vec::new(),
-        due: None,
+        max_response_time: None,
     }
 }
 
-fn broken(evidence: &Evidence) -> Vec<&'static str> {
-    let findings = judge(evidence);
+fn broken_promises(evidence: &Evidence) -> Vec<&'static str> {
+    let findings = check_promises(evidence);
     findings.iter().map(|finding| finding.promise).collect()
 }
 
 #[test]
-fn a_call_that_is_served_once_breaks_nothing() {
-    let call = asked(Kind::Unsafe, answered(200, ID));
+fn a_call_that_is_served_once_breaks_no_promise() {
+    let call = request(RequestKind::Unsafe, answered(200, ID));
 
-    assert!(broken(&evidence(vec![call], vec![label_run("i-1")])).is_empty());
+    assert!(broken_promises(&evidence(vec![call], vec![call_run("i-1")])).is_empty());
 }
 
 #[test]
 fn a_call_that_runs_twice_is_found() {
-    let call = asked(Kind::Unsafe, answered(200, ID));
-    let runs = vec![label_run("i-1"), label_run("i-2")];
+    let call = request(RequestKind::Unsafe, answered(200, ID));
+    let runs = vec![call_run("i-1"), call_run("i-2")];
 
     assert_eq!(
-        broken(&evidence(vec![call], runs)),
+        broken_promises(&evidence(vec![call], runs)),
         ["runs as often as it may"]
     );
 }
 
 #[test]
-fn a_refusal_of_what_ran_is_found() {
-    let call = asked(Kind::Unsafe, answered(503, ""));
+fn a_refusal_of_a_request_that_ran_is_found() {
+    let call = request(RequestKind::Unsafe, answered(503, ""));
 
-    let runs = vec![label_run("i-1")];
+    let runs = vec![call_run("i-1")];
 
-    assert_eq!(broken(&evidence(vec![call], runs)), ["a refusal is true"]);
+    assert_eq!(
+        broken_promises(&evidence(vec![call], runs)),
+        ["a refusal is true"]
+    );
 }
 
 #[test]
 fn an_answer_to_another_request_is_found() {
-    let call = asked(Kind::Unsafe, answered(200, "another"));
+    let call = request(RequestKind::Unsafe, answered(200, "another"));
 
-    let runs = vec![label_run("i-1")];
+    let runs = vec![call_run("i-1")];
 
     let promise = "an answer is whole and one's own";
-    assert_eq!(broken(&evidence(vec![call], runs)), [promise]);
+    assert_eq!(broken_promises(&evidence(vec![call], runs)), [promise]);
 }
 
 #[test]
@@ -118,7 +122,10 @@
         body: ID.to_owned(),
     };
 
-    let found = broken(&evidence(vec![asked(Kind::Safe, outcome)], Vec::new()));
+    let found = broken_promises(&evidence(
+        vec![request(RequestKind::Safe, outcome)],
+        Vec::new(),
+    ));
 
     assert_eq!(found, ["an answer is whole and one's own"]);
 }
@@ -126,76 +133,88 @@
 #[test]
 fn a_stream_that_ends_early_or_repeats_an_event_is_found() {
     let event = format!("id: 1\ndata: {ID} 1\n\n");
-    let early = asked(Kind::Stream, answered(200, &event));
-    let doubled = asked(Kind::Stream, answered(200, &format!("{event}{event}")));
+    let truncated = request(RequestKind::Stream, answered(200, &event));
+    let repeated = request(
+        RequestKind::Stream,
+        answered(200, &format!("{event}{event}")),
+    );
     let runs = || vec![run_at("i-1", PATH)];
 
     let promise = "an answer is whole and one's own";
-    assert_eq!(broken(&evidence(vec![early], runs())), [promise]);
-    assert_eq!(broken(&evidence(vec![doubled], runs())), [promise]);
+    assert_eq!(
+        broken_promises(&evidence(vec![truncated], runs())),
+        [promise]
+    );
+    assert_eq!(
+        broken_promises(&evidence(vec![repeated], runs())),
+        [promise]
+    );
 }
 
 #[test]
 fn a_published_route_that_is_unknown_is_found() {
-    let call = asked(Kind::Safe, answered(404, ""));
+    let call = request(RequestKind::Safe, answered(404, ""));
 
-    let found = broken(&evidence(vec![call], Vec::new()));
+    let found = broken_promises(&evidence(vec![call], Vec::new()));
 
     assert_eq!(found, ["a published route is served"]);
 }
 
 #[test]
 fn a_request_that_reaches_a_target_under_another_account_is_found() {
-    let call = asked(Kind::Unsafe, answered(200, ID));
+    let call = request(RequestKind::Unsafe, answered(200, ID));
     let run = Run {
         account: "others".to_owned(),
-        ..label_run("i-1")
+        ..call_run("i-1")
     };
 
-    let found = broken(&evidence(vec![call], vec![run]));
+    let found = broken_promises(&evidence(vec![call], vec![run]));
 
     assert_eq!(found, ["a request reaches targets unchanged"]);
 }
 
 #[test]
 fn a_request_that_is_cut_off_by_planned_work_is_found_and_by_faults_is_not() {
-    let call = asked(Kind::Unsafe, Outcome::Closed);
-    let mut evidence = evidence(vec![call], vec![label_run("i-1")]);
+    let call = request(RequestKind::Unsafe, Outcome::Closed);
+    let mut evidence = evidence(vec![call], vec![call_run("i-1")]);
 
-    assert_eq!(broken(&evidence), ["planned work cuts nothing off"]);
+    assert_eq!(
+        broken_promises(&evidence),
+        ["planned work cuts nothing off"]
+    );
     evidence.is_planned = false;
-    assert!(broken(&evidence).is_empty());
+    assert!(broken_promises(&evidence).is_empty());
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_an_idle_connection_is_none() {
-    let call = Asked {
+fn a_request_that_crosses_the_close_of_an_idle_connection_is_no_finding() {
+    let call = RequestRecord {
         was_kept: true,
-        ..asked(Kind::Unsafe, Outcome::Closed)
+        ..request(RequestKind::Unsafe, Outcome::Closed)
     };
 
-    assert!(broken(&evidence(vec![call], Vec::new())).is_empty());
+    assert!(broken_promises(&evidence(vec![call], Vec::new())).is_empty());
 }
 
 #[test]
-fn a_request_to_a_target_that_leaves_is_found_on_the_instance_that_was_told() {
-    let told = Asked {
+fn a_request_to_a_leaving_target_is_found_on_the_instance_that_got_the_announcement() {
+    let leaving = RequestRecord {
         names_leaving: true,
-        ..asked(Kind::Safe, answered(200, ID))
+        ..request(RequestKind::Safe, answered(200, ID))
     };
-    let later = |run| Asked {
+    let later = |run| RequestRecord {
         id: "9c42".to_owned(),
         run: Some(run),
-        sent_at: told.ended_at + Duration::from_millis(1),
-        ..asked(Kind::Safe, answered(200, "9c42"))
+        sent_at: leaving.ended_at + Duration::from_millis(1),
+        ..request(RequestKind::Safe, answered(200, "9c42"))
     };
     let restarted = InstanceRun { starts: 2, ..RUN };
     let found = |run| {
-        let mut evidence = evidence(vec![told.clone(), later(run)], vec![label_run("i-1")]);
+        let mut evidence = evidence(vec![leaving.clone(), later(run)], vec![call_run("i-1")]);
         evidence
             .runs
-            .insert("9c42".to_owned(), vec![label_run("i-1")]);
-        broken(&evidence)
+            .insert("9c42".to_owned(), vec![call_run("i-1")]);
+        broken_promises(&evidence)
     };
 
     assert_eq!(found(RUN), ["a leaving target gets nothing new"]);
@@ -203,19 +222,19 @@
 }
 
 #[test]
-fn a_limit_that_is_not_kept_is_found() {
+fn an_exceeded_limit_is_found() {
     let began = Instant::now();
-    let every = |ms: u64| Limited {
+    let every = |ms: u64| LimitedPeriod {
         per_s: 1.0,
         arrived_at: (0..40)
             .map(|n| began + Duration::from_millis(n * ms))
             .collect(),
     };
-    let served = asked(Kind::Unsafe, answered(200, ID));
+    let served = request(RequestKind::Unsafe, answered(200, ID));
     let found = |limited| {
-        broken(&Evidence {
+        broken_promises(&Evidence {
             limited: vec![limited],
-            ..evidence(vec![served.clone()], vec![label_run("i-1")])
+            ..evidence(vec![served.clone()], vec![call_run("i-1")])
         })
     };
 
@@ -224,53 +243,52 @@
 }
 
 #[test]
-fn an_answer_that_is_late_is_found_where_the_clock_counts() {
-    let call = asked(Kind::Unsafe, answered(200, ID));
-    let mut evidence = evidence(vec![call], vec![label_run("i-1")]);
-    evidence.due = Some(Duration::from_millis(10));
+fn a_late_response_is_found_if_times_are_checked() {
+    let call = request(RequestKind::Unsafe, answered(200, ID));
+    let mut evidence = evidence(vec![call], vec![call_run("i-1")]);
+    evidence.max_response_time = Some(Duration::from_millis(10));
 
-    assert_eq!(broken(&evidence), ["an answer is in time"]);
+    assert_eq!(broken_promises(&evidence), ["an answer is in time"]);
 }
 
 #[test]
-fn a_run_of_what_nobody_asked_is_found() {
-    let evidence = evidence(Vec::new(), vec![label_run("i-1")]);
+fn a_run_of_a_request_that_no_caller_sent_is_found() {
+    let evidence = evidence(Vec::new(), vec![call_run("i-1")]);
 
-    assert_eq!(broken(&evidence), ["nothing is made up"]);
+    assert_eq!(broken_promises(&evidence), ["nothing is made up"]);
 }
 
-/// A caller is served by a route of the newest version and, after that, by one that only the
-/// version before has, while both requests go to one run of an instance.
+/// A run of an instance serves a route that only version 3 has and, after that, one that only version 2 has.
 #[test]
 fn a_configuration_that_reverts_is_found() {
-    let newer = asked(Kind::Probe { version: 3 }, answered(200, ID));
+    let newer = request(RequestKind::Probe { version: 3 }, answered(200, ID));
     let later = newer.ended_at + Duration::from_millis(1);
-    let older = Asked {
+    let older = RequestRecord {
         sent_at: later,
         ended_at: later,
-        ..asked(Kind::Probe { version: 2 }, answered(200, ID))
+        ..request(RequestKind::Probe { version: 2 }, answered(200, ID))
     };
 
-    let found = broken(&evidence(vec![newer, older], Vec::new()));
+    let found = broken_promises(&evidence(vec![newer, older], Vec::new()));
 
     assert_eq!(found, ["a configuration never reverts"]);
 }
 
 #[test]
-fn memory_that_is_never_given_back_is_found() {
+fn memory_that_is_never_released_is_found() {
     let order = |operation: &str, id: &str| format!(r#"{{"Operation":"{operation}","Id":"{id}"}}"#);
     let mut evidence = evidence(Vec::new(), Vec::new());
     evidence.runs.clear();
     evidence.orders = vec![vec![order("reserve", "t1"), order("release", "t1")]];
 
-    assert!(broken(&evidence).is_empty());
+    assert!(broken_promises(&evidence).is_empty());
     evidence.orders[0].push(order("reserve", "t2"));
-    assert_eq!(broken(&evidence), ["memory comes back"]);
+    assert_eq!(broken_promises(&evidence), ["memory comes back"]);
 }
 
 #[test]
 fn a_seed_draws_the_same_plan_each_time_and_every_third_only_planned_work() {
-    let size = Size {
+    let parameters = RunParameters {
         length_ms: 10_000,
         troubles_per_s: 2.0,
         restarts_per_s: 0.0,
@@ -278,24 +296,24 @@
         instances: 5,
         targets: 8,
     };
-    let drawn = |seed| serde_json::to_string(&Plan::draw(seed, size)).unwrap();
-    let with_restarts = Size {
+    let drawn = |seed| serde_json::to_string(&Plan::draw(seed, parameters)).unwrap();
+    let with_restarts = RunParameters {
         restarts_per_s: 1.0,
-        ..size
+        ..parameters
     };
 
     assert_eq!(drawn(7), drawn(7));
     assert_ne!(drawn(7), drawn(8));
-    let steps = |size| {
-        Plan::draw(7, size)
+    let steps = |parameters| {
+        Plan::draw(7, parameters)
             .steps
             .into_iter()
             .map(|step| step.trouble)
     };
     let mut others: Vec<Trouble> = steps(with_restarts).collect();
     others.retain(|trouble| !matches!(trouble, Trouble::Restart(_) | Trouble::Overwrite(_)));
-    assert_eq!(others, steps(size).collect::<Vec<_>>());
+    assert_eq!(others, steps(parameters).collect::<Vec<_>>());
     assert_eq!(steps(with_restarts).count(), others.len() + 10);
-    assert!(Plan::draw(9, size).is_planned);
-    assert!(!Plan::draw(10, size).is_planned);
+    assert!(Plan::draw(9, parameters).is_planned);
+    assert!(!Plan::draw(10, parameters).is_planned);
 }
