--- a/crates/daemon/src/entry/answers.rs
+++ b/crates/daemon/src/entry/answers.rs
@@ -12,7 +12,7 @@
             atomic::{AtomicBool, Ordering},
         },
     },
-    whinlatch_platform::{error_body, is_from_target},
+    whinlatch_platform::{error_body, is_forwarded_to_caller},
 };
 
 /// Milliseconds in a second.
@@ -191,7 +191,10 @@
 
 fn status_and_headers(head: &ResponseHead) -> String {
     let mut text = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason);
-    for (name, value) in head.pairs().filter(|(name, _)| is_from_target(name)) {
+    for (name, value) in head
+        .pairs()
+        .filter(|(name, _)| is_forwarded_to_caller(name))
+    {
         let _written = write!(text, "{name}: {value}\r\n");
     }
     text
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -8,7 +8,7 @@
         target_connection::{TargetConnection, TargetFault},
     },
     std::{io, net::SocketAddr},
-    whinlatch_platform::TargetAnswer,
+    whinlatch_platform::TargetResponse,
     whinlatch_serving::targets::TargetEntry,
 };
 
@@ -142,7 +142,7 @@
     connection.send(bytes).await?;
     for _ in 0..=MOST_FOREIGN_ANSWERS {
         let head = connection.head(&context.head.method).await?;
-        let answer = TargetAnswer::read(head.status, head.pairs());
+        let answer = TargetResponse::read(head.status, head.pairs());
         let is_foreign = answer
             .request_id
             .is_some_and(|id| id != context.caller.request_id);
--- a/crates/daemon/src/entry/directory.rs
+++ b/crates/daemon/src/entry/directory.rs
@@ -11,7 +11,7 @@
     crate::clock::timeout,
     async_std::net::{TcpListener, TcpStream},
     std::{net::IpAddr, sync::Arc},
-    whinlatch_platform::{ENTRY_TTL_S, MOST_ADDRESSES, READY_PATH, RESOLVE_PATH, resolve_body},
+    whinlatch_platform::{ENTRY_TTL_S, MAX_ADDRESSES, READY_PATH, RESOLVE_PATH, resolve_body},
 };
 
 /// Bytes that the head of a question may have.
@@ -83,11 +83,11 @@
 ) -> std::io::Result<()> {
     let addresses = state
         .serving()
-        .caller_addresses(state.now(), caller, MOST_ADDRESSES);
+        .caller_addresses(state.now(), caller, MAX_ADDRESSES);
     if addresses.is_empty() {
         return answer.own(503, "no instance is ready", None).await;
     }
-    let ttl_s = ENTRY_TTL_S.min(state.settings.entry_ttl_most_s.max(1));
+    let ttl_s = ENTRY_TTL_S.min(state.settings.max_entry_ttl_s.max(1));
     let body = resolve_body(&addresses, ttl_s)?;
     answer.whole(&success("application/json"), &body).await
 }
--- a/crates/daemon/src/entry/own_call.rs
+++ b/crates/daemon/src/entry/own_call.rs
@@ -8,7 +8,7 @@
         permits::{is_permitted, note_sent_anyway},
     },
     std::fmt::Write,
-    whinlatch_platform::TargetAnswer,
+    whinlatch_platform::TargetResponse,
     whinlatch_serving::targets::TargetEntry,
 };
 
@@ -84,7 +84,7 @@
     let sent_at = state.now();
     let request = call.request(target);
     let (head, body) = connection.exchange(call.method(), &request).await?;
-    let answer = TargetAnswer::read(head.status, head.pairs());
+    let answer = TargetResponse::read(head.status, head.pairs());
     state.note_answer(sent_at, &target.id, &answer.notice);
     if head.is_kept {
         let now = state.now();
--- a/crates/daemon/src/entry/request_context.rs
+++ b/crates/daemon/src/entry/request_context.rs
@@ -2,7 +2,7 @@
     super::http::RequestHead,
     std::{fmt::Write, sync::Arc},
     whinlatch_core::MonoMs,
-    whinlatch_platform::{CallerHead, TargetHead, is_for_target, write_target_head},
+    whinlatch_platform::{CallerHead, TargetHead, is_forwarded_to_target, write_target_head},
     whinlatch_serving::{
         catalog::Route,
         names::{AccountName, ServiceName},
@@ -62,7 +62,11 @@
             "{} {} HTTP/1.1\r\n",
             self.head.method, self.head.target
         );
-        for (name, value) in self.head.pairs().filter(|(name, _)| is_for_target(name)) {
+        for (name, value) in self
+            .head
+            .pairs()
+            .filter(|(name, _)| is_forwarded_to_target(name))
+        {
             let _written = write!(text, "{name}: {value}\r\n");
         }
         write_target_head(own, &mut text);
--- a/crates/daemon/src/entry/reservations.rs
+++ b/crates/daemon/src/entry/reservations.rs
@@ -199,7 +199,7 @@
         let pause_ms = self
             .paused_until(now, hold)
             .map_or(0, |until| until.since(now) + PAUSE_MARGIN_MS);
-        let most_ms = self.state.settings.reservation_most_ms;
+        let most_ms = self.state.settings.max_reservation_ms;
         let hold_ms = HOLD_MS.max(pause_ms).min(most_ms);
         hold.note_order(now, hold_ms);
         let body =
--- a/crates/daemon/src/entry/store/intake.rs
+++ b/crates/daemon/src/entry/store/intake.rs
@@ -50,7 +50,7 @@
                     self.note_unknown_service(&change);
                     targets.push(change);
                 }
-                Ok(Change::Foreign(change, fault)) => {
+                Ok(Change::UnreadableTarget(change, fault)) => {
                     self.note_unreadable(&fault.to_string());
                     targets.push(change);
                 }
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -11,7 +11,8 @@
     std::{convert::Infallible, sync::Arc},
     whinlatch_core::MonoMs,
     whinlatch_platform::{
-        History, RangePage, key_request, range_request, read_range, read_watch, watch_request,
+        RangePage, WatchEvents, configuration_request, range_request, read_range, read_watch,
+        watch_request,
     },
     whinlatch_serving::targets::TargetChange,
 };
@@ -177,7 +178,9 @@
     }
 
     async fn begin_reading(&mut self) -> Result<Reading, ReadFault> {
-        let page = self.range(CallKind::Configuration, &key_request()).await?;
+        let page = self
+            .range(CallKind::Configuration, &configuration_request())
+            .await?;
         self.intake.apply(page.changes);
         Ok(Reading {
             revision: page.revision,
@@ -227,7 +230,7 @@
                 () = behind => return Err(ReadFault::Behind),
             }
         };
-        let History { changes, revision } = read_watch(&body)?;
+        let WatchEvents { changes, revision } = read_watch(&body)?;
         self.intake.apply(changes);
         self.note_rechecked();
         Ok(revision)
