--- a/crates/daemon/tests/entry/bad_input.rs
+++ b/crates/daemon/tests/entry/bad_input.rs
@@ -3,7 +3,7 @@
 use {
     super::fixture::{World, target, world},
     whinlatch_platform_standins::{
-        Ask, Behaviour, HOST, KEY, SAFE_PREFIX,
+        Behaviour, CallerRequest, HOST, KEY, SAFE_PREFIX,
         names::{DEADLINE_HEADER, REQUEST_ID_HEADER, TOKENS_HEADER},
     },
 };
@@ -97,13 +97,13 @@
 #[async_std::test]
 async fn headers_that_count_must_be_readable() {
     let (world, plain) = plain_world().await;
-    let deadline = Ask {
-        more: vec![(DEADLINE_HEADER, "soon".to_owned())],
-        ..Ask::new("GET", format!("{SAFE_PREFIX}x"))
+    let deadline = CallerRequest {
+        extra_headers: vec![(DEADLINE_HEADER, "soon".to_owned())],
+        ..CallerRequest::new("GET", format!("{SAFE_PREFIX}x"))
     };
-    let tokens = Ask {
-        more: vec![(TOKENS_HEADER, "many".to_owned())],
-        ..Ask::new("GET", format!("{SAFE_PREFIX}x"))
+    let tokens = CallerRequest {
+        extra_headers: vec![(TOKENS_HEADER, "many".to_owned())],
+        ..CallerRequest::new("GET", format!("{SAFE_PREFIX}x"))
     };
     let no_id = format!("GET {SAFE_PREFIX}x HTTP/1.1\r\nHost: {HOST}\r\n\r\n");
 
@@ -120,6 +120,6 @@
     assert_eq!(status_of(&world, "\u{1}\u{2}\u{3}\r\n\r\n"), 400);
     assert_eq!(status_of(&world, "GET * HTTP/1.1\r\nHost: x\r\n\r\n"), 400);
 
-    let served = world.ask(&Ask::new("GET", format!("{SAFE_PREFIX}x")));
+    let served = world.ask(&CallerRequest::new("GET", format!("{SAFE_PREFIX}x")));
     assert_eq!(served.status, 200);
 }
--- a/crates/daemon/tests/entry/calls.rs
+++ b/crates/daemon/tests/entry/calls.rs
@@ -3,28 +3,28 @@
 use {
     super::fixture::{target, until, world},
     whinlatch_platform_standins::{
-        ACCOUNT, Ask, Behaviour, CALL_PREFIX, Fixture, SAFE_PREFIX,
+        ACCOUNT, Behaviour, CALL_PREFIX, CallerRequest, Fixture, SAFE_PREFIX,
         names::{ACCOUNT_HEADER, EXPECT_HEADER, REQUEST_ID_HEADER, SEAL_HEADER},
     },
 };
 
-fn unsafe_call() -> Ask {
-    Ask {
+fn unsafe_call() -> CallerRequest {
+    CallerRequest {
         body: "label".to_owned(),
-        ..Ask::new("POST", format!("{CALL_PREFIX}print%2F1?copies=1"))
+        ..CallerRequest::new("POST", format!("{CALL_PREFIX}print%2F1?copies=1"))
     }
 }
 
-fn safe_call() -> Ask {
-    Ask::new("GET", format!("{SAFE_PREFIX}listing"))
+fn safe_call() -> CallerRequest {
+    CallerRequest::new("GET", format!("{SAFE_PREFIX}listing"))
 }
 
 #[async_std::test]
 async fn a_call_reaches_its_target_unchanged_and_its_answer_the_caller() {
     let plain = target("p-1", Behaviour::Serve("printed"));
     let world = world(&[], &[&plain]).await;
-    let ask = Ask {
-        more: vec![
+    let ask = CallerRequest {
+        extra_headers: vec![
             (ACCOUNT_HEADER, "somebody else".to_owned()),
             ("X-Custom", "kept".to_owned()),
         ],
@@ -51,8 +51,8 @@
 #[async_std::test]
 async fn a_call_that_may_have_run_is_not_sent_again() {
     let plain = [
-        target("p-1", Behaviour::LoseAnswer),
-        target("p-2", Behaviour::LoseAnswer),
+        target("p-1", Behaviour::DropResponse),
+        target("p-2", Behaviour::DropResponse),
     ];
     let world = world(&[], &[&plain[0], &plain[1]]).await;
 
@@ -127,7 +127,7 @@
         target("p-2", Behaviour::Serve("listing")),
     ];
     for target in &plain {
-        target.script([Behaviour::LoseAnswer]);
+        target.script([Behaviour::DropResponse]);
     }
     let world = world(&[], &[&plain[0], &plain[1]]).await;
 
@@ -149,7 +149,7 @@
 #[async_std::test]
 async fn a_second_answer_is_given_to_nobody() {
     let plain = target("p-1", Behaviour::Serve("second"));
-    plain.script([Behaviour::AnswerTwice("first")]);
+    plain.script([Behaviour::RespondTwice("first")]);
     let world = world(&[], &[&plain]).await;
 
     let first = world.ask(&safe_call());
@@ -162,7 +162,7 @@
 /// As above, but the late answer comes where the next one is due.
 #[async_std::test]
 async fn an_answer_to_another_request_is_passed_over() {
-    let plain = target("p-1", Behaviour::ForeignFirst("listing"));
+    let plain = target("p-1", Behaviour::ForeignResponseFirst("listing"));
     let world = world(&[], &[&plain]).await;
 
     let answer = world.ask(&safe_call());
@@ -241,7 +241,7 @@
     caller.write(&safe_call().text());
     plain.wait_for_arrivals(1);
 
-    caller.leave();
+    caller.disconnect();
 
     plain.wait_for_close();
 }
@@ -250,7 +250,7 @@
 /// it. After three, it is kept from the others.
 #[async_std::test]
 async fn a_call_that_breaks_all_targets_is_stopped() {
-    let plain = ["p-1", "p-2", "p-3", "p-4", "p-5"].map(|id| target(id, Behaviour::LoseAnswer));
+    let plain = ["p-1", "p-2", "p-3", "p-4", "p-5"].map(|id| target(id, Behaviour::DropResponse));
     let world = world(&[], &plain.each_ref()).await;
 
     for _ in 0..30 {
@@ -265,7 +265,7 @@
 /// requests, which are all alike, and none of them harms any target.
 #[async_std::test]
 async fn a_popular_call_is_served_after_one_target_broke_it_off_again_and_again() {
-    let bad = target("p-1", Behaviour::LoseAnswer);
+    let bad = target("p-1", Behaviour::DropResponse);
     let world = world(&[], &[&bad]).await;
     for _ in 0..5 {
         world.ask(&unsafe_call());
--- a/crates/daemon/tests/entry/failing_engines.rs
+++ b/crates/daemon/tests/entry/failing_engines.rs
@@ -8,7 +8,7 @@
     },
     whinlatch_daemon::clock::PausedClock,
     whinlatch_platform_standins::{
-        Ask, Behaviour, Fixture, STREAM_PREFIX, StoreStandin, TargetStandin,
+        Behaviour, CallerRequest, Fixture, STREAM_PREFIX, StoreStandin, TargetStandin,
     },
 };
 
@@ -48,7 +48,7 @@
     let world = world_of(&engines).await;
 
     for _ in 0..10 {
-        world.ask(&Ask::prompt(format!("{STREAM_PREFIX}x"), 5_000));
+        world.ask(&CallerRequest::prompt(format!("{STREAM_PREFIX}x"), 5_000));
     }
 
     engines[failing.load(Ordering::SeqCst) - 1].arrivals().len()
@@ -58,7 +58,7 @@
 /// that it is well, and is always idle.
 #[async_std::test]
 async fn an_engine_that_closes_connections_gets_few_prompts() {
-    let sent = sent_to_the_failing_one(&Behaviour::LoseAnswer).await;
+    let sent = sent_to_the_failing_one(&Behaviour::DropResponse).await;
 
     assert!(sent <= 2, "{sent}");
 }
--- a/crates/daemon/tests/entry/fixture.rs
+++ b/crates/daemon/tests/entry/fixture.rs
@@ -17,7 +17,7 @@
     },
     whinlatch_platform::InstanceSettings,
     whinlatch_platform_standins::{
-        Answer, Ask, Behaviour, Caller, Fixture, StoreStandin, TargetStandin,
+        Behaviour, Caller, CallerRequest, CallerResponse, Fixture, StoreStandin, TargetStandin,
     },
     whinlatch_serving::retries::FleetBudgetRule,
 };
@@ -85,7 +85,7 @@
 }
 
 /// Asks a question of the platform's on a connection of its own.
-pub fn question(address: SocketAddr, path: &str) -> Answer {
+pub fn question(address: SocketAddr, path: &str) -> CallerResponse {
     let mut caller = Caller::connect(address);
     caller.write(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
     caller.read().expect("an answer comes")
@@ -107,8 +107,8 @@
         Caller::connect(self.entry.settings().caller_address)
     }
 
-    pub fn ask(&self, ask: &Ask) -> Answer {
-        self.connect().ask(ask)
+    pub fn ask(&self, ask: &CallerRequest) -> CallerResponse {
+        self.connect().exchange(ask)
     }
 
     pub async fn wait_until_ready(&self) {
--- a/crates/daemon/tests/entry/fleet.rs
+++ b/crates/daemon/tests/entry/fleet.rs
@@ -8,7 +8,7 @@
     std::sync::Arc,
     whinlatch_daemon::clock::{Clock, PausedClock},
     whinlatch_platform_standins::{
-        Ask, Behaviour, Caller, Fixture, SAFE_PREFIX, StoreMode, StoreStandin,
+        Behaviour, Caller, CallerRequest, Fixture, SAFE_PREFIX, StoreMode, StoreStandin,
     },
 };
 
@@ -21,8 +21,8 @@
 /// Time within which a try to reach a silent peer is given up by an instance that starts, in ms.
 const MOMENT_MS: u64 = 150;
 
-fn call() -> Ask {
-    Ask::new("GET", format!("{SAFE_PREFIX}listing"))
+fn call() -> CallerRequest {
+    CallerRequest::new("GET", format!("{SAFE_PREFIX}listing"))
 }
 
 fn resolved(entry: &whinlatch_daemon::entry::Entry) -> String {
@@ -41,7 +41,7 @@
 
     let second = start(&refusing, &[first.entry.settings().peer_address]).await;
     until(|| is_ready(&second)).await;
-    let answer = Caller::connect(second.settings().caller_address).ask(&call());
+    let answer = Caller::connect(second.settings().caller_address).exchange(&call());
 
     assert_eq!((answer.status, answer.body.as_str()), (200, "listing"));
     first.store.publish_draining(&plain);
@@ -76,14 +76,14 @@
     let address = entry.settings().caller_address;
     until(|| resolved(&second).contains(&address.to_string())).await;
     let mut kept = Caller::connect(address);
-    assert_eq!(kept.ask(&call()).header("Connection"), None);
+    assert_eq!(kept.exchange(&call()).header("Connection"), None);
 
     let leaving = task::spawn({
         let entry = Arc::clone(&entry);
         async move { entry.leave().await }
     });
     until(|| !is_ready(&entry)).await;
-    let last = kept.ask(&call());
+    let last = kept.exchange(&call());
 
     assert_eq!(
         (last.status, last.header("Connection")),
--- a/crates/daemon/tests/entry/leaving.rs
+++ b/crates/daemon/tests/entry/leaving.rs
@@ -6,7 +6,7 @@
         paused_fleet::{ENGINES, Fleet, INSTANCES, LARGE_TOKENS, Published, STEP_MS},
     },
     whinlatch_platform_standins::{
-        Ask, Behaviour, CALL_PREFIX, Caller, SAFE_PREFIX, STREAM_PREFIX, TargetStandin,
+        Behaviour, CALL_PREFIX, Caller, CallerRequest, SAFE_PREFIX, STREAM_PREFIX, TargetStandin,
     },
 };
 
@@ -20,12 +20,12 @@
 /// Time within which memory is renewed once nothing is against it, in ms.
 const RENEWED_MS: u64 = 1_500;
 
-fn safe_call() -> Ask {
-    Ask::new("GET", format!("{SAFE_PREFIX}listing"))
+fn safe_call() -> CallerRequest {
+    CallerRequest::new("GET", format!("{SAFE_PREFIX}listing"))
 }
 
-fn prompt() -> Ask {
-    Ask::prompt(format!("{STREAM_PREFIX}x"), 2_000)
+fn prompt() -> CallerRequest {
+    CallerRequest::prompt(format!("{STREAM_PREFIX}x"), 2_000)
 }
 
 /// Guards against requests to a target that has left while the store, which lists it as ready, was away.
@@ -33,7 +33,7 @@
 async fn a_target_that_says_that_it_leaves_gets_no_further_request() {
     let plain = ["p-1", "p-2"].map(|id| target(id, Behaviour::Serve("listing")));
     let fleet = Fleet::start(Published::Plain(&plain[0])).await;
-    plain[0].leave();
+    plain[0].announce_leaving();
     for instance in 0..INSTANCES {
         assert_eq!(fleet.ask(instance, &safe_call()), 200);
     }
@@ -51,7 +51,7 @@
 async fn an_engine_that_says_that_it_leaves_gets_no_further_prompt() {
     let engines = ["e-1", "e-2"].map(|id| target(id, Behaviour::Stream(2)));
     let fleet = Fleet::start(Published::Engine(&engines[0])).await;
-    engines[0].leave();
+    engines[0].announce_leaving();
     assert_eq!(fleet.ask(0, &prompt()), 200);
     fleet.add(Published::Engine(&engines[1])).await;
 
@@ -67,7 +67,7 @@
 async fn all_instances_know_that_a_target_leaves_once_one_was_told() {
     let plain = target("p-1", Behaviour::Serve("listing"));
     let fleet = Fleet::start(Published::Plain(&plain)).await;
-    plain.leave();
+    plain.announce_leaving();
 
     assert_eq!(fleet.ask(0, &safe_call()), 200);
 
@@ -81,8 +81,8 @@
 async fn a_target_that_wants_nothing_for_a_while_gets_nothing() {
     let plain = target("p-1", Behaviour::Serve("printed"));
     let fleet = Fleet::start(Published::Plain(&plain)).await;
-    plain.script([Behaviour::Pause(PAUSE.0)]);
-    let call = || Ask::new("POST", format!("{CALL_PREFIX}print"));
+    plain.script([Behaviour::ShedAndPause(PAUSE.0)]);
+    let call = || CallerRequest::new("POST", format!("{CALL_PREFIX}print"));
     assert_eq!(fleet.ask(0, &call()), 503);
 
     for _ in 0..REQUESTS {
@@ -104,7 +104,7 @@
 async fn a_prompt_whose_engines_want_nothing_is_refused_with_the_time_that_is_left() {
     let engine = target("e-1", Behaviour::Stream(2));
     let fleet = Fleet::start(Published::Engine(&engine)).await;
-    engine.script([Behaviour::Pause(PAUSE.0)]);
+    engine.script([Behaviour::ShedAndPause(PAUSE.0)]);
     assert_eq!(fleet.ask(0, &prompt()), 503);
 
     let answer = fleet.answer(0, &prompt());
@@ -118,17 +118,17 @@
 /// and cuts a stream off.
 #[async_std::test]
 async fn memory_is_not_renewed_while_its_engine_wants_nothing() {
-    let engines = ENGINES.map(|id| target(id, Behaviour::StreamHeld(1)));
+    let engines = ENGINES.map(|id| target(id, Behaviour::StreamThenHang(1)));
     let fleet = Fleet::of_small_engines(&engines).await;
     let mut held = Caller::connect(fleet.entries[0].settings().caller_address);
-    held.write(&Ask::prompt(format!("{STREAM_PREFIX}x"), LARGE_TOKENS).text());
+    held.write(&CallerRequest::prompt(format!("{STREAM_PREFIX}x"), LARGE_TOKENS).text());
     until(|| engines.iter().any(|engine| !engine.arrivals().is_empty())).await;
     let holder = engines
         .iter()
         .position(|engine| engine.arrivals().is_empty());
     let holder = &engines[holder.unwrap()];
     for engine in &engines {
-        engine.script([Behaviour::Pause(PAUSE.0)]);
+        engine.script([Behaviour::ShedAndPause(PAUSE.0)]);
     }
     let before = |engine: &TargetStandin| (engine.arrivals().len(), engine.orders().len());
     let counts = engines.each_ref().map(before);
--- a/crates/daemon/tests/entry/limits.rs
+++ b/crates/daemon/tests/entry/limits.rs
@@ -6,8 +6,8 @@
         paused_fleet::{ENGINES, Fleet, INSTANCES, LARGE_TOKENS, Published, STEP_MS},
     },
     whinlatch_platform_standins::{
-        Ask, Behaviour, CALL_PREFIX, Caller, Request, SAFE_PREFIX, STREAM_PREFIX, TargetStandin,
-        names::TOKENS_HEADER,
+        Behaviour, CALL_PREFIX, Caller, CallerRequest, Request, SAFE_PREFIX, STREAM_PREFIX,
+        TargetStandin, names::TOKENS_HEADER,
     },
 };
 
@@ -23,15 +23,15 @@
 const MOST_ARRIVALS: usize = 11;
 
 /// Has the only target name its limit to each instance.
-fn tell_limit(fleet: &Fleet, target: &TargetStandin, request: impl Fn() -> Ask) {
+fn tell_limit(fleet: &Fleet, target: &TargetStandin, request: impl Fn() -> CallerRequest) {
     target.set_limit(Some(LIMIT_PER_S));
     for instance in 0..INSTANCES {
         fleet.ask(instance, &request());
     }
 }
 
-fn safe_call() -> Ask {
-    Ask::new("GET", format!("{SAFE_PREFIX}listing"))
+fn safe_call() -> CallerRequest {
+    CallerRequest::new("GET", format!("{SAFE_PREFIX}listing"))
 }
 
 /// Guards against a target in need that gets its whole limit from each instance, or more.
@@ -41,13 +41,13 @@
     let fleet = Fleet::start(Published::Plain(&plain[0])).await;
     tell_limit(&fleet, &plain[0], safe_call);
     fleet.add(Published::Plain(&plain[1])).await;
-    let before = plain[0].all_arrivals();
+    let before = plain[0].arrival_count();
 
     for request in 0..INSTANCES * REQUESTS {
         assert_eq!(fleet.ask(request % INSTANCES, &safe_call()), 200);
     }
 
-    let arrived = plain[0].all_arrivals() - before;
+    let arrived = plain[0].arrival_count() - before;
     assert!(arrived <= MOST_ARRIVALS, "{arrived}");
 }
 
@@ -56,12 +56,12 @@
 async fn reports_and_orders_count_towards_the_limit_of_an_engine() {
     let engines = ["e-1", "e-2", "e-3"].map(|id| target(id, Behaviour::Stream(2)));
     let fleet = Fleet::start(Published::Engine(&engines[0])).await;
-    let short = || Ask::prompt(format!("{STREAM_PREFIX}x"), 2_000);
-    let long = || Ask::prompt(format!("{STREAM_PREFIX}x"), 60_000);
+    let short = || CallerRequest::prompt(format!("{STREAM_PREFIX}x"), 2_000);
+    let long = || CallerRequest::prompt(format!("{STREAM_PREFIX}x"), 60_000);
     tell_limit(&fleet, &engines[0], short);
     fleet.add(Published::Engine(&engines[1])).await;
     fleet.add(Published::Engine(&engines[2])).await;
-    let before = engines[0].all_arrivals();
+    let before = engines[0].arrival_count();
 
     for request in 0..(WINDOW_MS / STEP_MS) as usize {
         let prompt = if request % 2 == 0 { short() } else { long() };
@@ -69,7 +69,7 @@
         fleet.advance(STEP_MS).await;
     }
 
-    let arrived = engines[0].all_arrivals() - before;
+    let arrived = engines[0].arrival_count() - before;
     assert!(arrived <= MOST_ARRIVALS, "{arrived}");
 }
 
@@ -77,7 +77,9 @@
 #[async_std::test]
 async fn orders_that_keep_memory_count_towards_the_limit_of_an_engine() {
     let holds_large = |request: &Request| match request.header(TOKENS_HEADER) {
-        Some(tokens) if tokens.starts_with(&LARGE_TOKENS.to_string()) => Behaviour::StreamHeld(1),
+        Some(tokens) if tokens.starts_with(&LARGE_TOKENS.to_string()) => {
+            Behaviour::StreamThenHang(1)
+        }
         _ => Behaviour::Stream(2),
     };
     let engines = ENGINES.map(|id| TargetStandin::start_choosing(id, holds_large));
@@ -85,7 +87,7 @@
     let address = fleet.entries[0].settings().caller_address;
     let mut held = [address; 2].map(Caller::connect);
     for caller in &mut held {
-        caller.write(&Ask::prompt(format!("{STREAM_PREFIX}x"), LARGE_TOKENS).text());
+        caller.write(&CallerRequest::prompt(format!("{STREAM_PREFIX}x"), LARGE_TOKENS).text());
     }
     let begun = |engines: &[TargetStandin]| -> usize {
         engines.iter().map(|engine| engine.arrivals().len()).sum()
@@ -95,16 +97,16 @@
         engine.set_limit(Some(LIMIT_PER_S));
     }
     fleet.advance(TOLD_MS).await;
-    let before = engines.each_ref().map(TargetStandin::all_arrivals);
+    let before = engines.each_ref().map(TargetStandin::arrival_count);
 
     for request in 0..(WINDOW_MS / STEP_MS) as usize {
-        let short = Ask::prompt(format!("{STREAM_PREFIX}x"), 2_000);
+        let short = CallerRequest::prompt(format!("{STREAM_PREFIX}x"), 2_000);
         fleet.ask(request % INSTANCES, &short);
         fleet.advance(STEP_MS).await;
     }
 
     for (engine, before) in engines.iter().zip(before) {
-        let arrived = engine.all_arrivals() - before;
+        let arrived = engine.arrival_count() - before;
         assert!(arrived <= MOST_ARRIVALS, "{} {arrived}", engine.id());
     }
 }
@@ -115,7 +117,7 @@
     let plain = target("p-1", Behaviour::Serve("listing"));
     let fleet = Fleet::start(Published::Plain(&plain)).await;
     tell_limit(&fleet, &plain, safe_call);
-    let call = || Ask::new("POST", format!("{CALL_PREFIX}print"));
+    let call = || CallerRequest::new("POST", format!("{CALL_PREFIX}print"));
 
     let answers: Vec<u16> = (0..MOST_ARRIVALS)
         .map(|request| fleet.ask(request % INSTANCES, &call()))
--- a/crates/daemon/tests/entry/paused_fleet.rs
+++ b/crates/daemon/tests/entry/paused_fleet.rs
@@ -8,7 +8,9 @@
         clock::{Clock, PausedClock},
         entry::Entry,
     },
-    whinlatch_platform_standins::{Answer, Ask, Caller, Fixture, StoreStandin, TargetStandin},
+    whinlatch_platform_standins::{
+        Caller, CallerRequest, CallerResponse, Fixture, StoreStandin, TargetStandin,
+    },
 };
 
 /// Instances of a fleet.
@@ -93,14 +95,14 @@
     }
 
     /// Sends a request to an instance. Returns the status of its answer.
-    pub fn ask(&self, instance: usize, ask: &Ask) -> u16 {
+    pub fn ask(&self, instance: usize, ask: &CallerRequest) -> u16 {
         self.answer(instance, ask).status
     }
 
     /// Sends a request to an instance.
-    pub fn answer(&self, instance: usize, ask: &Ask) -> Answer {
+    pub fn answer(&self, instance: usize, ask: &CallerRequest) -> CallerResponse {
         let address = self.entries[instance].settings().caller_address;
-        Caller::connect(address).ask(ask)
+        Caller::connect(address).exchange(ask)
     }
 
     /// Publishes one more target, which comes to all instances.
--- a/crates/daemon/tests/entry/published.rs
+++ b/crates/daemon/tests/entry/published.rs
@@ -5,13 +5,13 @@
     std::sync::Arc,
     whinlatch_daemon::clock::{Clock, PausedClock},
     whinlatch_platform_standins::{
-        Ask, Behaviour, Fixture, KEY, PLAIN, SAFE_PREFIX, StoreMode, StoreStandin,
+        Behaviour, CallerRequest, Fixture, KEY, PLAIN, SAFE_PREFIX, StoreMode, StoreStandin,
         names::{CONFIGURATION_KEY, TARGETS_PREFIX},
     },
 };
 
-fn call() -> Ask {
-    Ask::new("GET", format!("{SAFE_PREFIX}listing"))
+fn call() -> CallerRequest {
+    CallerRequest::new("GET", format!("{SAFE_PREFIX}listing"))
 }
 
 /// A caller is told that its route doesn't exist and never comes back: the instance has just
@@ -94,12 +94,12 @@
     let plain = target("p-1", Behaviour::Serve("listing"));
     let world = world(&[], &[&plain]).await;
 
-    let no_route = world.ask(&Ask::new("GET", "/nowhere/".to_owned()));
-    let no_key = world.ask(&Ask {
+    let no_route = world.ask(&CallerRequest::new("GET", "/nowhere/".to_owned()));
+    let no_key = world.ask(&CallerRequest {
         key: None,
         ..call()
     });
-    let bad_key = world.ask(&Ask {
+    let bad_key = world.ask(&CallerRequest {
         key: Some("key-9"),
         ..call()
     });
@@ -115,14 +115,14 @@
     let world = world(&[], &[&plain]).await;
     let fixture = Fixture {
         version: 9,
-        more_routes: vec![("/safe/inner/".to_owned(), "nothing")],
+        extra_routes: vec![("/safe/inner/".to_owned(), "nothing")],
         ..Fixture::default()
     };
     fixture.publish(&world.store);
     world.wait_for_version(9).await;
 
     let outer = world.ask(&call());
-    let inner = world.ask(&Ask::new("GET", "/safe/inner/x".to_owned()));
+    let inner = world.ask(&CallerRequest::new("GET", "/safe/inner/x".to_owned()));
 
     assert_eq!(outer.status, 200);
     assert_eq!(inner.status, 503);
@@ -209,7 +209,7 @@
 #[async_std::test]
 async fn all_pages_are_read() {
     let store = StoreStandin::start();
-    store.set_page_items(2);
+    store.set_page_size(2);
     Fixture::default().publish(&store);
     let plain = ["p-1", "p-2", "p-3", "p-4", "p-5"].map(|id| target(id, Behaviour::Shed));
     for target in &plain {
@@ -251,7 +251,7 @@
     revoked.publish(&world.store);
     world.wait_for_version(5).await;
 
-    let ask = Ask {
+    let ask = CallerRequest {
         key: Some(KEY),
         ..call()
     };
@@ -268,8 +268,8 @@
         let id = format!("p-{number}");
         store.publish_target(&id, PLAIN, ([127, 0, 0, 1], 9_000 + number).into(), "ready");
     }
-    store.set_page_items(2);
-    store.set_throttled_every(Some(3));
+    store.set_page_size(2);
+    store.set_throttle_interval(Some(3));
 
     let entry = start(&store, &[]).await;
 
@@ -281,7 +281,7 @@
 async fn after_a_trouble_of_the_store_only_changes_are_read() {
     let plain = target("p-1", Behaviour::Serve("listing"));
     let world = world(&[], &[&plain]).await;
-    let before = world.store.ranges();
+    let before = world.store.range_count();
     world.store.set_mode(StoreMode::Closing);
     until(|| world.entry.lost_store()).await;
     let other = target("p-2", Behaviour::Serve("listing"));
@@ -290,7 +290,7 @@
     world.store.set_mode(StoreMode::Serving);
 
     until(|| world.entry.ready_targets() == ["p-1", "p-2"]).await;
-    assert_eq!(world.store.ranges(), before);
+    assert_eq!(world.store.range_count(), before);
 }
 
 /// A target that has left gets requests for three seconds more: the store is back, the watch that was
@@ -318,7 +318,7 @@
     Fixture::default().publish(&store);
     store.publish_plain(&plain);
     for number in 0..60 {
-        store.publish_foreign(&format!("foreign-{number}"));
+        store.publish_malformed(&format!("foreign-{number}"));
         let id = format!("unknown-{number}");
         store.publish_target(
             &id,
--- a/crates/daemon/tests/entry/streams.rs
+++ b/crates/daemon/tests/entry/streams.rs
@@ -10,13 +10,13 @@
         },
     },
     whinlatch_platform_standins::{
-        Ask, Behaviour, ENGINES, Fixture, Request, STREAM_PREFIX, TargetStandin,
+        Behaviour, CallerRequest, ENGINES, Fixture, Request, STREAM_PREFIX, TargetStandin,
         names::{HELPERS_HEADER, SEAL_HEADER, TOKENS_HEADER},
     },
 };
 
-fn prompt(tokens: u64) -> Ask {
-    Ask::prompt(format!("{STREAM_PREFIX}x"), tokens)
+fn prompt(tokens: u64) -> CallerRequest {
+    CallerRequest::prompt(format!("{STREAM_PREFIX}x"), tokens)
 }
 
 fn five_engines(usual: &Behaviour) -> [TargetStandin; 5] {
@@ -163,13 +163,13 @@
 /// An engine writes for nobody: the caller closed its connection in the middle of the stream.
 #[async_std::test]
 async fn a_caller_that_leaves_ends_its_stream_at_the_engine() {
-    let engine = target("e-1", Behaviour::StreamHeld(2));
+    let engine = target("e-1", Behaviour::StreamThenHang(2));
     let world = world(&[&engine], &[]).await;
     let mut caller = world.connect();
     caller.write(&prompt(5_000).text());
     let first = caller.read_first_chunk();
 
-    caller.leave();
+    caller.disconnect();
 
     assert!(first.starts_with("id: 1\n"));
     engine.wait_for_close();
@@ -230,7 +230,7 @@
 async fn memory_that_can_not_be_set_aside_everywhere_is_given_back() {
     let engines = five_engines(&Behaviour::Stream(3));
     for engine in &engines {
-        engine.refuse_orders(true);
+        engine.set_refuses_orders(true);
     }
     let world = world_of_small_engines(&engines).await;
 
@@ -267,7 +267,7 @@
 /// stay open, and only those who open a new one learn of it.
 #[async_std::test]
 async fn a_stream_at_an_engine_out_of_reach_goes_on_at_another() {
-    let lost = target("e-1", Behaviour::StreamHeld(2));
+    let lost = target("e-1", Behaviour::StreamThenHang(2));
     let world = world(&[&lost], &[]).await;
     let mut caller = world.connect();
     caller.write(&prompt(5_000).text());
@@ -292,7 +292,7 @@
 #[async_std::test]
 async fn a_stream_whose_memory_is_not_renewed_is_left_to_its_engines() {
     let engines =
-        ["e-1", "e-2", "e-3", "e-4", "e-5"].map(|id| target(id, Behaviour::StreamHeld(2)));
+        ["e-1", "e-2", "e-3", "e-4", "e-5"].map(|id| target(id, Behaviour::StreamThenHang(2)));
     let world = world_of_small_engines(&engines).await;
     let mut caller = world.connect();
     caller.write(&prompt(10_000).text());
@@ -303,7 +303,7 @@
         .find(|engine| !engine.orders().is_empty())
         .unwrap();
     for engine in &engines {
-        engine.refuse_orders(true);
+        engine.set_refuses_orders(true);
     }
     holder.wait_for_orders(4);
 
@@ -321,7 +321,7 @@
 async fn memory_that_no_request_uses_is_given_back() {
     let engines = ["e-1", "e-2", "e-3"].map(|id| target(id, Behaviour::Hang));
     for engine in &engines {
-        engine.leave_memory_unused();
+        engine.report_memory_unused();
     }
     let world = world(&engines.each_ref(), &[]).await;
     wait_for_patience(&world).await;
@@ -357,7 +357,7 @@
             };
             let dead = *dead.get_or_init(|| *last);
             if helpers.contains(&dead) {
-                return Behaviour::ShedFor(dead);
+                return Behaviour::ShedBecauseOf(dead);
             }
             Behaviour::Stream(3)
         })
@@ -411,7 +411,7 @@
 #[async_std::test]
 async fn memory_is_not_renewed_at_an_engine_that_has_started_again() {
     let engines =
-        ["e-1", "e-2", "e-3", "e-4", "e-5"].map(|id| target(id, Behaviour::StreamHeld(2)));
+        ["e-1", "e-2", "e-3", "e-4", "e-5"].map(|id| target(id, Behaviour::StreamThenHang(2)));
     let world = world_of_small_engines(&engines).await;
     let publish = |engine: &TargetStandin, started_at_ms| {
         let (id, address) = (engine.id(), engine.address());
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -70,7 +70,7 @@
         let seeds: Vec<SocketAddr> = ips
             .iter()
             .take(3)
-            .map(|ip| SettingsFile::peers_at(*ip))
+            .map(|ip| SettingsFile::peer_address(*ip))
             .collect();
         let mut slots = Vec::new();
         for (number, ip) in ips.iter().enumerate() {
@@ -127,7 +127,7 @@
             version,
             engine_tokens: ENGINE_TOKENS,
             timeout_ms: TIMEOUT_MS,
-            more_routes: vec![(Self::probe_prefix(version), PLAIN)],
+            extra_routes: vec![(Self::probe_prefix(version), PLAIN)],
             ..Fixture::default()
         };
         configuration.publish(&self.store);
@@ -300,7 +300,7 @@
     fn overwrite_entry(&self, number: usize) {
         let target = lock(&self.targets[number]);
         if !target.is_leaving && !target.is_down {
-            self.store.publish_foreign(&target.id);
+            self.store.publish_malformed(&target.id);
         }
     }
 
--- a/crates/soak/src/simulated_caller.rs
+++ b/crates/soak/src/simulated_caller.rs
@@ -9,7 +9,7 @@
     },
     std::time::{Duration, Instant},
     whinlatch_platform_standins::{
-        Ask, CALL_PREFIX, Caller, SAFE_PREFIX, STREAM_PREFIX,
+        CALL_PREFIX, Caller, CallerRequest, SAFE_PREFIX, STREAM_PREFIX,
         names::{LEAVING_HEADER, SEAL_HEADER},
     },
 };
@@ -77,7 +77,7 @@
     pub fn is_served_by(&mut self, instance: usize) -> bool {
         self.list = vec![instance];
         self.listed_at = Some(Instant::now());
-        let request = Ask::new("GET", format!("{SAFE_PREFIX}0"));
+        let request = CallerRequest::new("GET", format!("{SAFE_PREFIX}0"));
         let record = self.send(RequestKind::Safe, &request);
         let is_served = record
             .as_ref()
@@ -100,7 +100,7 @@
     }
 
     /// Sends a request and returns its record; `None` if no instance accepts a connection.
-    fn send(&mut self, kind: RequestKind, request: &Ask) -> Option<RequestRecord> {
+    fn send(&mut self, kind: RequestKind, request: &CallerRequest) -> Option<RequestRecord> {
         let mut connection = self.connect()?;
         let was_kept = connection.has_carried;
         let leaves = kind == RequestKind::Stream && self.rng.u8(..100) < LEAVE_PERCENT;
@@ -147,22 +147,25 @@
         })
     }
 
-    fn draw_request(&mut self) -> (RequestKind, Ask) {
+    fn draw_request(&mut self) -> (RequestKind, CallerRequest) {
         match self.rng.u8(..10) {
             0..3 => (
                 RequestKind::Safe,
-                Ask::new("GET", format!("{SAFE_PREFIX}listing")),
+                CallerRequest::new("GET", format!("{SAFE_PREFIX}listing")),
             ),
             3..6 => (
                 RequestKind::Unsafe,
-                Ask::new("POST", format!("{CALL_PREFIX}label")),
+                CallerRequest::new("POST", format!("{CALL_PREFIX}label")),
             ),
             6..8 => (RequestKind::Stream, self.draw_prompt()),
             _ => {
                 let newest = self.environment.version();
                 let version = newest.saturating_sub(self.rng.u64(..2)).max(1);
                 let path = format!("{}x", Environment::probe_prefix(version));
-                (RequestKind::Probe { version }, Ask::new("GET", path))
+                (
+                    RequestKind::Probe { version },
+                    CallerRequest::new("GET", path),
+                )
             }
         }
     }
@@ -176,10 +179,10 @@
         format!("{prefix}{number}")
     }
 
-    fn draw_prompt(&mut self) -> Ask {
+    fn draw_prompt(&mut self) -> CallerRequest {
         let tokens = PROMPT_TOKENS[self.rng.usize(..PROMPT_TOKENS.len())];
         let path = self.draw_path(STREAM_PREFIX);
-        Ask::prompt(path, tokens)
+        CallerRequest::prompt(path, tokens)
     }
 }
 
@@ -191,7 +194,7 @@
 }
 
 /// Sends a request and reads the response, or leaves after its first bytes.
-fn exchange(caller: &mut Caller, request: &Ask, leaves: bool) -> ExchangeResult {
+fn exchange(caller: &mut Caller, request: &CallerRequest, leaves: bool) -> ExchangeResult {
     let failed = |seen| ExchangeResult {
         seen,
         names_leaving: false,
@@ -202,7 +205,7 @@
     }
     if leaves {
         // Dropping the caller closes the connection.
-        caller.read_some();
+        caller.wait_for_first_bytes();
         return failed(Outcome::Left);
     }
     let began = Instant::now();
--- a/crates/soak/src/target.rs
+++ b/crates/soak/src/target.rs
@@ -158,7 +158,7 @@
     /// Announces in all further responses that it is leaving.
     pub fn announce_leaving(&mut self) {
         self.leaves_unpublished = true;
-        self.standin.leave();
+        self.standin.announce_leaving();
     }
 
     /// Returns the bodies of the orders that it received.
@@ -182,7 +182,7 @@
         return Behaviour::Shed;
     }
     if trouble == Some(TargetTrouble::Pausing) {
-        return Behaviour::Pause(PAUSE_S);
+        return Behaviour::ShedAndPause(PAUSE_S);
     }
     let account = request.header(ACCOUNT_HEADER).unwrap_or_default();
     observations.record_run(
@@ -204,12 +204,12 @@
         })
     };
     match trouble {
-        Some(TargetTrouble::Losing) => Behaviour::LoseAnswer,
+        Some(TargetTrouble::Losing) => Behaviour::DropResponse,
         Some(TargetTrouble::Hanging) => Behaviour::Hang,
         Some(TargetTrouble::Unsealed) => Behaviour::Unsealed,
         Some(TargetTrouble::Breaking) if is_engine => stream(Some(hash(id) % last)),
         Some(TargetTrouble::Breaking) => Behaviour::Short("half"),
-        Some(TargetTrouble::Doubling) if !is_engine => Behaviour::AnswerTwice(DOUBLED_BODY),
+        Some(TargetTrouble::Doubling) if !is_engine => Behaviour::RespondTwice(DOUBLED_BODY),
         Some(TargetTrouble::Doubling | TargetTrouble::Shedding | TargetTrouble::Pausing) | None
             if is_engine =>
         {
