--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -15,7 +15,7 @@
 
 /// Statuses that guarantee that a request hasn't run and never will.
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
-/// Attempts of a request that may run more than once.
+/// Largest number of attempts of a request that may run more than once, as the routes set it.
 const MAX_ATTEMPTS: usize = 2;
 /// Time window over which the operators count the requests to a target with a limit.
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
--- a/crates/soak/src/target.rs
+++ b/crates/soak/src/target.rs
@@ -71,7 +71,8 @@
 pub struct LimitedPeriod {
     /// Announced limit, in requests per second.
     pub per_s: f64,
-    /// Arrivals of requests, orders and reads of the report, in order, from `LIMIT_GRACE` on.
+    /// Arrivals of requests, orders and reads of the report, in order, from `LIMIT_GRACE` after the announcement
+    /// to the end of the limit.
     pub arrived_at: Vec<Instant>,
 }
 
