--- a/crates/daemon/src/entry/answers_whole.rs
+++ b/crates/daemon/src/entry/answers_whole.rs
@@ -14,7 +14,7 @@
     },
     whinlatch_core::MonoMs,
     whinlatch_platform::TargetHead,
-    whinlatch_serving::{CallAsk, Refusal, names::TargetId, targets::TargetEntry},
+    whinlatch_serving::{CallRequest, Refusal, names::TargetId, targets::TargetEntry},
 };
 
 /// Targets that are asked for a connection before the request is given up.
@@ -42,7 +42,7 @@
         let took_ms = now.since(self.sent_at) as f64;
         self.state
             .serving()
-            .call_ended(now, self.target, took_ms, self.failed);
+            .record_call_ended(now, self.target, took_ms, self.failed);
     }
 }
 
@@ -56,7 +56,7 @@
     let mut runs = 0;
     let mut failure: Option<WholeAnswer> = None;
     loop {
-        let ask = CallAsk {
+        let ask = CallRequest {
             service: &context.service,
             fingerprint: context.fingerprint,
             tried: &tried,
@@ -98,13 +98,13 @@
 }
 
 /// Chooses a target to which the call may be sent, and counts it as sent there.
-async fn place(state: &EntryState, mut ask: CallAsk<'_>) -> Result<TargetEntry, Refusal> {
+async fn place(state: &EntryState, mut ask: CallRequest<'_>) -> Result<TargetEntry, Refusal> {
     loop {
         let target = state.serving().place_call(state.now(), &ask)?.target;
         if is_permitted(state, &target.id).await {
             return Ok(target);
         }
-        state.serving().call_withdrawn(&target.id);
+        state.serving().record_call_withdrawn(&target.id);
         // The budget has let this repeat through.
         ask.is_repeat = false;
     }
@@ -190,7 +190,7 @@
     });
     let now = state.now();
     if fault.is_unreachable() {
-        state.serving().unreachable(now, &target.id);
+        state.serving().record_unreachable(now, &target.id);
     }
     if let AttemptFault::NotRun(not_run) = fault {
         note_not_run(state, target, not_run);
@@ -202,11 +202,11 @@
     let now = state.now();
     let mut serving = state.serving();
     if not_run.is_misdirected {
-        serving.displaced(&target.id);
+        serving.record_takeover(&target.id);
     }
     let helper = not_run.at_fault.filter(|at| *at != target.address);
     if let Some(helper) = helper {
-        serving.helper_failed(now, helper);
+        serving.record_helper_failure(now, helper);
     }
 }
 
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -102,7 +102,7 @@
     if fault.is_crash(was_reused) {
         let now = state.now();
         let mut serving = state.serving();
-        serving.crashed(now, context.fingerprint, &target.id);
+        serving.record_crash(now, context.fingerprint, &target.id);
     }
 }
 
--- a/crates/daemon/src/entry/decision_line.rs
+++ b/crates/daemon/src/entry/decision_line.rs
@@ -9,7 +9,7 @@
         time::{SystemTime, UNIX_EPOCH},
     },
     whinlatch_serving::{
-        Weighed,
+        DecisionInputs,
         targets::{TargetChange, TargetState},
     },
 };
@@ -169,7 +169,7 @@
         attempt: u32,
         /// What was weighed, of a prompt.
         #[serde(skip_serializing_if = "Option::is_none")]
-        weighed: Option<Weighed>,
+        weighed: Option<DecisionInputs>,
     },
     /// A request gets no target.
     Refused {
@@ -187,7 +187,7 @@
         fingerprint: Option<String>,
         /// What was weighed, of a prompt that others would lose too much by.
         #[serde(skip_serializing_if = "Option::is_none")]
-        weighed: Option<Weighed>,
+        weighed: Option<DecisionInputs>,
     },
     /// An attempt came to nothing.
     AttemptFailed {
--- a/crates/daemon/src/entry/engine_reports.rs
+++ b/crates/daemon/src/entry/engine_reports.rs
@@ -40,7 +40,7 @@
     match read_pace(&body) {
         Ok(pace) => {
             let now = state.now();
-            state.serving().pace_reported(now, engine, pace);
+            state.serving().apply_reported_pace(now, engine, pace);
         }
         Err(fault) => state.log(&Decision::Unreadable {
             fault: format!("the report of {}: {fault}", engine.id),
--- a/crates/daemon/src/entry/entry_state.rs
+++ b/crates/daemon/src/entry/entry_state.rs
@@ -134,7 +134,9 @@
     /// Takes in what a target says of itself in its answer to a request of `sent_at`.
     pub fn note_answer(&self, sent_at: MonoMs, target: &TargetId, notice: &TargetNotice) {
         self.metrics.note_notice(notice);
-        let is_news = self.serving().noticed(self.now(), sent_at, target, notice);
+        let is_news = self
+            .serving()
+            .apply_target_notice(self.now(), sent_at, target, notice);
         if is_news {
             self.log(&Decision::Noticed {
                 target: target.to_string(),
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -214,7 +214,7 @@
     };
     let ended = serve(state, stream, input, &context, answer).await;
     if ended.is_success() {
-        state.serving().served(context.fingerprint);
+        state.serving().record_served(context.fingerprint);
     }
     ended
 }
--- a/crates/daemon/src/entry/job_guard.rs
+++ b/crates/daemon/src/entry/job_guard.rs
@@ -17,6 +17,6 @@
 
 impl Drop for JobGuard<'_> {
     fn drop(&mut self) {
-        self.state.serving().prompt_ended(self.job);
+        self.state.serving().record_prompt_ended(self.job);
     }
 }
--- a/crates/daemon/src/entry/links/incoming.rs
+++ b/crates/daemon/src/entry/links/incoming.rs
@@ -99,7 +99,7 @@
         .ok()
     });
     let version = serving.version();
-    let lacking = wants.map(|wants| (wants.reply_to, serving.reply_to(now, &wants)));
+    let lacking = wants.map(|wants| (wants.reply_to, serving.catch_up_response(now, &wants)));
     let placed = ask.map(|ask| (ask.reply_to, answer(&mut serving, now, &ask)));
     let granted = permit_ask.and_then(|ask| grant(&mut serving, now, &ask));
     drop(serving);
@@ -119,7 +119,7 @@
 
 /// The answer to an ask for a permit, and where it goes.
 fn grant(serving: &mut Serving, now: MonoMs, ask: &PermitRequest) -> Option<(SocketAddr, Frame)> {
-    let permit_answer = serving.grant(now, ask);
+    let permit_answer = serving.answer_permit_request(now, ask);
     let frame = Frame {
         permit_response: permit_answer,
         ..Frame::default()
--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -9,7 +9,7 @@
     },
     whinlatch_core::MonoMs,
     whinlatch_serving::{
-        Recipients, StoreDuty, WantedLinks,
+        Recipients, StoreRole, WantedLinks,
         fleet::{EngineGroup, Frame, HeartbeatFrame},
     },
 };
@@ -64,9 +64,9 @@
         keeper.tell_news();
         keeper.pass_on(now);
         keeper.tell_roster(now);
-        if now >= next_beat || state.serving().is_beat_due() {
+        if now >= next_beat || state.serving().is_heartbeat_due() {
             keeper.beat(now);
-            next_beat = now + state.serving().beat_ms();
+            next_beat = now + state.serving().heartbeat_interval_ms();
         }
     }
 }
@@ -74,7 +74,7 @@
 fn notice_pause(state: &EntryState, now: MonoMs, last: MonoMs) {
     let paused_ms = now.since(last);
     if paused_ms > PAUSE_MS {
-        state.serving().woke(now);
+        state.serving().on_process_resumed(now);
         state.log(&Decision::Woke { paused_ms });
     }
 }
@@ -91,11 +91,11 @@
         let state = &self.state;
         let seeds = state.seed_peers();
         let mut serving = state.serving();
-        serving.seeded(&seeds);
+        serving.add_seeds(&seeds);
         serving.tick(now);
         let roster = serving.roster_news(now);
-        let (is_hub, peers) = (serving.is_hub(), serving.peers(now));
-        let duty = serving.store_duty(now);
+        let (is_hub, peers) = (serving.is_hub(), serving.live_peer_count(now));
+        let duty = serving.store_role(now);
         drop(serving);
         if std::mem::replace(&mut self.is_hub, is_hub) != is_hub {
             state.log(&Decision::Hub { is_hub, peers });
@@ -128,11 +128,11 @@
 
     /// Tells those that are to know of prompts, and didn't so far, what is at work.
     fn inform(&mut self, now: MonoMs, linked: &HashSet<SocketAddr>) {
-        let mut wanted = self.state.serving().informed();
+        let mut wanted = self.state.serving().informed_deciders();
         wanted.retain(|address, _| linked.contains(address));
         for (address, groups) in &wanted {
             if self.informed.get(address) != Some(groups) {
-                let jobs = self.state.serving().jobs(now, groups);
+                let jobs = self.state.serving().job_snapshot(now, groups);
                 self.state.send(&[*address], &jobs);
             }
         }
@@ -140,7 +140,7 @@
     }
 
     fn ask_for_missing(&self, now: MonoMs) {
-        let wants = self.state.serving().wants(now);
+        let wants = self.state.serving().catch_up_request(now);
         if let Some((peers, frame)) = wants {
             self.state.send(&peers, &frame);
         }
@@ -188,10 +188,10 @@
     }
 
     /// Logs when this instance begins or ceases to go by a relay.
-    fn note_duty(&mut self, duty: StoreDuty) {
+    fn note_duty(&mut self, duty: StoreRole) {
         let state = &self.state;
         let line = match duty {
-            StoreDuty::Follow(relay) => {
+            StoreRole::Follow(relay) => {
                 state.metrics.note_knowledge_age(relay.age_ms);
                 Decision::Relayed {
                     relay: relay.address.to_string(),
@@ -199,12 +199,12 @@
                     age_ms: relay.age_ms,
                 }
             }
-            StoreDuty::Watch | StoreDuty::StandIn { .. } => Decision::RelayLost {
+            StoreRole::Watch | StoreRole::StandIn { .. } => Decision::RelayLost {
                 duty: duty.name(),
                 known_to: state.serving().known_to(),
             },
         };
-        let is_relayed = matches!(duty, StoreDuty::Follow(_));
+        let is_relayed = matches!(duty, StoreRole::Follow(_));
         if std::mem::replace(&mut self.is_relayed, is_relayed) != is_relayed {
             state.log(&line);
         }
@@ -219,7 +219,7 @@
         let Some(beat) = heartbeat.heartbeat else {
             return;
         };
-        let follows = self.state.serving().follows(now);
+        let follows = self.state.serving().follow_requests(now);
         let mut own: Vec<SocketAddr> = self.wanted.own.iter().copied().collect();
         own.retain(|address| follows.iter().all(|(relay, _)| relay != address));
         let beat = HeartbeatFrame {
--- a/crates/daemon/src/entry/links/outgoing.rs
+++ b/crates/daemon/src/entry/links/outgoing.rs
@@ -69,7 +69,7 @@
     let rule = OpenRule::of(&state);
     let opened = timeout(clock, rule.open_ms, open(&state, address)).await;
     let Some(Ok(mut socket)) = opened else {
-        state.serving().peer_lost(state.now(), address);
+        state.serving().on_link_lost(state.now(), address);
         clock.sleep(rule.reopen_ms).await;
         return;
     };
@@ -81,7 +81,7 @@
     let fault = match fault {
         None => "the link isn't wanted any more".to_owned(),
         Some(fault) => {
-            state.serving().peer_lost(state.now(), address);
+            state.serving().on_link_lost(state.now(), address);
             fault
         }
     };
--- a/crates/daemon/src/entry/permits.rs
+++ b/crates/daemon/src/entry/permits.rs
@@ -17,14 +17,14 @@
 
 /// Whether a request may be sent to a target now.
 pub async fn is_permitted(state: &EntryState, target: &TargetId) -> bool {
-    let permission = state.serving().permission(state.now(), target);
+    let permission = state.serving().request_permission(state.now(), target);
     let asked = match permission {
         Permission::Granted => return true,
         Permission::Refused => None,
         Permission::AskHolder { holder, request } => {
             let answer = ask_holder(state, holder, &request).await;
             let now = state.now();
-            if state.serving().permit_answered(now, target, answer) {
+            if state.serving().apply_permit_response(now, target, answer) {
                 return true;
             }
             Some(holder)
@@ -63,7 +63,7 @@
 
 /// Has a call that is made in any case count towards the limit of its target.
 pub fn note_sent_anyway(state: &EntryState, target: &TargetId) {
-    let told = state.serving().sent_anyway(state.now(), target);
+    let told = state.serving().note_unpermitted_send(state.now(), target);
     if let Some((holder, frame)) = told {
         state.send(&[holder], &frame);
     }
--- a/crates/daemon/src/entry/placing.rs
+++ b/crates/daemon/src/entry/placing.rs
@@ -5,7 +5,7 @@
     crate::clock::timeout,
     std::net::SocketAddr,
     whinlatch_serving::{
-        PromptAsk, PromptPlace, Refusal,
+        PromptPlacement, PromptRequest, Refusal,
         fleet::{EngineGroup, Frame, JobId, Placement, PlacementRequest},
     },
 };
@@ -22,8 +22,8 @@
 /// A [`Refusal`]; the prompt has not been sent.
 pub async fn place(
     state: &EntryState,
-    mut ask: PromptAsk,
-) -> Result<(PromptPlace, JobGuard<'_>), Refusal> {
+    mut ask: PromptRequest,
+) -> Result<(PromptPlacement, JobGuard<'_>), Refusal> {
     loop {
         let closed = state.serving().closed_targets(state.now());
         ask.excluded.extend(closed);
@@ -31,7 +31,9 @@
             Ok(chosen) => chosen,
             // Whoever chose was told to leave out what is closed to this instance.
             Err(Refusal::NoTarget) => {
-                return Err(state.serving().none_open(state.now(), &ask.service));
+                return Err(state
+                    .serving()
+                    .refusal_for_closed_targets(state.now(), &ask.service));
             }
             Err(refusal) => return Err(refusal),
         };
@@ -49,12 +51,12 @@
 /// behind at the peer that nobody ever tells the end of.
 async fn choose<'a>(
     state: &'a EntryState,
-    ask: &PromptAsk,
-) -> Result<(PromptPlace, JobGuard<'a>), Refusal> {
+    ask: &PromptRequest,
+) -> Result<(PromptPlacement, JobGuard<'a>), Refusal> {
     let (job, groups) = {
         let mut serving = state.serving();
         (
-            serving.may_place(state.now(), ask)?,
+            serving.admit_prompt(state.now(), ask)?,
             serving.groups_to_try(),
         )
     };
@@ -73,14 +75,14 @@
     state: &EntryState,
     job: JobId,
     group: EngineGroup,
-    ask: &PromptAsk,
-) -> Result<PromptPlace, Refusal> {
+    ask: &PromptRequest,
+) -> Result<PromptPlacement, Refusal> {
     let deciders = state.serving().deciders(group);
     for peer in deciders.into_iter().take(ASKED) {
         let Some(placement) = ask_peer(state, peer, job, group, ask).await else {
             continue;
         };
-        if let Some(place) = state.serving().take_up(state.now(), &placement?) {
+        if let Some(place) = state.serving().accept_placement(state.now(), &placement?) {
             return Ok(place);
         }
         break;
@@ -88,7 +90,9 @@
     let now = state.now();
     let mut serving = state.serving();
     let placement = serving.choose_engines(now, job, group, ask)?;
-    serving.take_up(now, &placement).ok_or(Refusal::NoTarget)
+    serving
+        .accept_placement(now, &placement)
+        .ok_or(Refusal::NoTarget)
 }
 
 /// Asks a peer. `None` if it doesn't answer in time: it is gone, or has no time itself.
@@ -97,10 +101,10 @@
     peer: SocketAddr,
     job: JobId,
     group: EngineGroup,
-    ask: &PromptAsk,
+    ask: &PromptRequest,
 ) -> Option<Result<Placement, Refusal>> {
     let awaited = state.links.placements.begin(job);
-    state.serving().asked_in(job, group);
+    state.serving().record_placement_request(job, group);
     let frame = Frame {
         placement_request: Some(PlacementRequest {
             job,
--- a/crates/daemon/src/entry/reservations.rs
+++ b/crates/daemon/src/entry/reservations.rs
@@ -13,7 +13,7 @@
     std::{net::SocketAddr, sync::Arc},
     whinlatch_core::MonoMs,
     whinlatch_platform::{MemoryUse, ORDER_PATH, read_memory_use, release_body, reserve_body},
-    whinlatch_serving::{PromptPlace, targets::TargetEntry},
+    whinlatch_serving::{PromptPlacement, targets::TargetEntry},
 };
 
 /// Time for which memory is set aside at once, in ms. Engines must have it back within four
@@ -57,7 +57,7 @@
     /// [`AttemptFault::NoMemory`]; what was set aside is given back.
     pub async fn reserve(
         state: &'a Arc<EntryState>,
-        place: &PromptPlace,
+        place: &PromptPlacement,
     ) -> Result<Self, AttemptFault> {
         let mut reservations = Self::wanted(state, place);
         let own = reservations.own.iter();
@@ -74,7 +74,7 @@
         Ok(reservations)
     }
 
-    fn wanted(state: &'a Arc<EntryState>, place: &PromptPlace) -> Self {
+    fn wanted(state: &'a Arc<EntryState>, place: &PromptPlacement) -> Self {
         let count = place.reserved.map_or(0, |reserved| reserved.engines);
         let tokens = place.reserved.map_or(0, |reserved| reserved.tokens);
         let helpers = place.helpers.iter().take(count);
--- a/crates/daemon/src/entry/routing.rs
+++ b/crates/daemon/src/entry/routing.rs
@@ -69,7 +69,7 @@
             message: "the route leads to no service: come back".to_owned(),
             retry_after_ms: Some(LEAST_RETRY_MS),
         })?;
-    serving.arrived(state.now(), &service);
+    serving.record_arrival(state.now(), &service);
     Ok(RequestContext {
         fingerprint: fingerprint(account.as_deref(), &head, &body),
         due: arrived + deadline_ms.min(route.timeout_ms),
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -20,7 +20,7 @@
     async_std::task::{self, JoinHandle},
     std::{env, fs, path::PathBuf, sync::Arc},
     whinlatch_platform::{InstanceSettings, SETTINGS_VARIABLE, read_settings},
-    whinlatch_serving::{Serving, StoreDuty, fleet::Member, mechanism::Without},
+    whinlatch_serving::{Serving, StoreRole, fleet::Member, mechanism::Without},
 };
 
 /// Time between two looks whether a leaving instance is idle, in ms.
@@ -99,7 +99,7 @@
 
     /// Switches parts of the decisions off.
     pub fn switch_off(&self, without: Without) {
-        self.state.serving().switch_off(without);
+        self.state.serving().disable_mechanisms(without);
     }
 
     /// The settings, with the ports that are listened on.
@@ -130,18 +130,18 @@
 
     /// Whether the store didn't answer when it was last asked.
     pub fn lost_store(&self) -> bool {
-        self.state.serving().lost_store()
+        self.state.serving().is_store_lost()
     }
 
     /// Whether this instance leaves the store to a relay whose word is fresh.
     pub fn goes_by_relay(&self) -> bool {
         let now = self.state.now();
-        matches!(self.state.serving().store_duty(now), StoreDuty::Follow(_))
+        matches!(self.state.serving().store_role(now), StoreRole::Follow(_))
     }
 
     /// Number of peers that are heard of.
     pub fn peers(&self) -> usize {
-        self.state.serving().peers(self.state.now())
+        self.state.serving().live_peer_count(self.state.now())
     }
 
     /// Leaves: the peers are told at once, requests are served until there are none and callers
--- a/crates/daemon/src/entry/store/intake.rs
+++ b/crates/daemon/src/entry/store/intake.rs
@@ -31,7 +31,7 @@
         let now = self.state.now();
         for change in self.apply_configurations(changes) {
             let line = Decision::target(&change, "store");
-            if self.state.serving().target_published(now, change) {
+            if self.state.serving().apply_store_change(now, change) {
                 self.state.log(&line);
             }
         }
@@ -56,7 +56,11 @@
                 }
                 Ok(Change::Configuration(configuration, text)) => {
                     let version = configuration.version;
-                    if self.state.serving().put_in_force(*configuration, text) {
+                    if self
+                        .state
+                        .serving()
+                        .activate_configuration(*configuration, text)
+                    {
                         let source = "store";
                         self.state.log(&Decision::Configured { version, source });
                     }
--- a/crates/daemon/src/entry/store/store_pace.rs
+++ b/crates/daemon/src/entry/store/store_pace.rs
@@ -1,4 +1,4 @@
-use {crate::entry::entry_state::EntryState, whinlatch_serving::StoreDuty};
+use {crate::entry::entry_state::EntryState, whinlatch_serving::StoreRole};
 
 /// Time between two watches, in ms: targets that start or are replaced write one after the other,
 /// and each change by itself would cost a call.
@@ -76,15 +76,15 @@
     pub async fn turn(&mut self) -> Turn {
         let duty = self.duty();
         let stood_in = self.stands_in;
-        self.stands_in = matches!(duty, StoreDuty::StandIn { .. });
+        self.stands_in = matches!(duty, StoreRole::StandIn { .. });
         match duty {
-            StoreDuty::Watch => Turn::Ask,
-            StoreDuty::Follow(_) => {
+            StoreRole::Watch => Turn::Ask,
+            StoreRole::Follow(_) => {
                 self.state.clock.sleep(DUTY_LOOK_MS).await;
                 Turn::Told
             }
-            StoreDuty::StandIn { .. } if stood_in => Turn::Ask,
-            StoreDuty::StandIn { is_store_lost } => {
+            StoreRole::StandIn { .. } if stood_in => Turn::Ask,
+            StoreRole::StandIn { is_store_lost } => {
                 let spread_ms = if is_store_lost {
                     LOST_SPREAD_MS
                 } else {
@@ -96,9 +96,9 @@
         }
     }
 
-    fn duty(&self) -> StoreDuty {
+    fn duty(&self) -> StoreRole {
         let now = self.state.now();
-        self.state.serving().store_duty(now)
+        self.state.serving().store_role(now)
     }
 
     /// Waits for so long, or until a relay has fresh word.
@@ -106,7 +106,7 @@
         let until = self.state.now() + most_ms;
         loop {
             let left_ms = until.since(self.state.now());
-            if left_ms == 0 || matches!(self.duty(), StoreDuty::Follow(_)) {
+            if left_ms == 0 || matches!(self.duty(), StoreRole::Follow(_)) {
                 return;
             }
             self.state.clock.sleep(left_ms.min(DUTY_LOOK_MS)).await;
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -141,7 +141,7 @@
 
     fn told(&self, revision: u64) {
         let now = self.state.now();
-        self.state.serving().store_told(now, revision);
+        self.state.serving().mark_complete_at(now, revision);
     }
 
     /// Reads all that is published. Returns the revision from which a watch goes on.
@@ -171,7 +171,7 @@
         let now = self.state.now();
         self.state
             .serving()
-            .targets_published(now, reading.revision, reading.targets);
+            .apply_store_snapshot(now, reading.revision, reading.targets);
         self.state.note_published();
         Ok(reading.revision)
     }
@@ -237,7 +237,7 @@
     fn note_rechecked(&mut self) {
         if std::mem::take(&mut self.is_doubtful) {
             let now = self.state.now();
-            self.reads_anew = self.state.serving().is_behind(now);
+            self.reads_anew = self.state.serving().is_lagging(now);
         }
     }
 
@@ -300,7 +300,7 @@
 async fn until_behind(state: &EntryState) {
     loop {
         state.clock.sleep(BEHIND_LOOK_MS).await;
-        if state.serving().is_behind(state.now()) {
+        if state.serving().is_lagging(state.now()) {
             return;
         }
     }
--- a/crates/daemon/src/entry/stream_events.rs
+++ b/crates/daemon/src/entry/stream_events.rs
@@ -15,7 +15,7 @@
     },
     std::io,
     whinlatch_core::MonoMs,
-    whinlatch_serving::{PromptPlace, targets::TargetEntry},
+    whinlatch_serving::{PromptPlacement, targets::TargetEntry},
 };
 
 /// Silence of an engine after which it counts whether it can be reached, in ms: over the longest
@@ -26,7 +26,7 @@
     /// Passes on the events of an attempt as they come.
     pub(super) async fn relay(
         &mut self,
-        place: &PromptPlace,
+        place: &PromptPlacement,
         mut connection: TargetConnection,
         head: ResponseHead,
         first_event_by: MonoMs,
@@ -62,7 +62,7 @@
     /// Receives more of the stream, unless the engine is silent for too long or out of reach.
     async fn receive(
         &mut self,
-        place: &PromptPlace,
+        place: &PromptPlacement,
         connection: &mut TargetConnection,
         decoder: &mut BodyDecoder,
         wait_ms: u64,
@@ -94,7 +94,7 @@
         events
     }
 
-    fn keep(&self, place: &PromptPlace, connection: TargetConnection, head: &ResponseHead) {
+    fn keep(&self, place: &PromptPlacement, connection: TargetConnection, head: &ResponseHead) {
         if head.is_kept {
             let now = self.state.now();
             let address = place.engine.address;
@@ -103,14 +103,14 @@
     }
 
     /// Notes an event; `is_first` if it is the first one of this attempt.
-    fn note_event(&mut self, place: &PromptPlace, is_first: bool) {
+    fn note_event(&mut self, place: &PromptPlacement, is_first: bool) {
         let now = self.state.now();
         {
             let mut serving = self.state.serving();
             if is_first {
-                serving.prompt_begun(now, place.job);
+                serving.record_first_event(now, place.job);
             }
-            serving.event_seen(now, &place.engine);
+            serving.record_stream_event(now, &place.engine);
         }
         if self.first_event_at.is_some() {
             self.answer.note_pause(now.since(self.last_event_at));
@@ -150,7 +150,7 @@
     }
     loop {
         state.clock.sleep(UNREACHABLE_LOOK_MS).await;
-        if state.serving().is_to_move(state.now(), engine) {
+        if state.serving().should_move_stream(state.now(), engine) {
             return;
         }
     }
--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -24,7 +24,7 @@
     std::sync::Arc,
     whinlatch_core::MonoMs,
     whinlatch_platform::TargetHead,
-    whinlatch_serving::{PromptAsk, PromptPlace, Refusal, names::TargetId},
+    whinlatch_serving::{PromptPlacement, PromptRequest, Refusal, names::TargetId},
 };
 
 /// Engines that are asked for a connection before a prompt is given up.
@@ -119,13 +119,13 @@
         }
     }
 
-    async fn place(&self, tried: &[TargetId]) -> Result<(PromptPlace, JobGuard<'a>), Refusal> {
+    async fn place(&self, tried: &[TargetId]) -> Result<(PromptPlacement, JobGuard<'a>), Refusal> {
         let ask = self.prompt_ask(tried).ok_or(Refusal::NoTarget)?;
         place(self.state, ask).await
     }
 
     /// What is asked of the engines now; `None` if the caller doesn't say what its prompt is.
-    fn prompt_ask(&self, tried: &[TargetId]) -> Option<PromptAsk> {
+    fn prompt_ask(&self, tried: &[TargetId]) -> Option<PromptRequest> {
         let now = self.state.now();
         let Relay {
             context, answer, ..
@@ -140,7 +140,7 @@
         };
         let passed_ms = now.since(since);
         let patience_ms = context.route.patience_ms.saturating_sub(passed_ms);
-        Some(PromptAsk {
+        Some(PromptRequest {
             service: context.service.clone(),
             fingerprint: context.fingerprint,
             prompt_tokens: prompt.prompt_tokens,
@@ -155,9 +155,9 @@
         })
     }
 
-    fn note_engine_failed(&self, place: &PromptPlace) {
+    fn note_engine_failed(&self, place: &PromptPlacement) {
         let now = self.state.now();
-        self.state.serving().prompt_failed(now, place.job);
+        self.state.serving().record_prompt_failure(now, place.job);
     }
 
     async fn give_up(&self, refusal: Refusal) -> Ended {
@@ -181,7 +181,7 @@
         }
     }
 
-    async fn attempt(&mut self, place: &PromptPlace) -> Result<StreamEnd, AttemptFault> {
+    async fn attempt(&mut self, place: &PromptPlacement) -> Result<StreamEnd, AttemptFault> {
         let state = self.state;
         let reservations = Reservations::reserve(state, place).await?;
         let connection = connection(state, &place.engine).await?;
@@ -207,7 +207,7 @@
     /// Sends the prompt and passes on what comes back.
     async fn serve(
         &mut self,
-        place: &PromptPlace,
+        place: &PromptPlacement,
         mut connection: TargetConnection,
         request: &[u8],
     ) -> Result<StreamEnd, AttemptFault> {
@@ -224,7 +224,7 @@
         self.relay(place, connection, head, first_event_by).await
     }
 
-    fn request(&self, place: &PromptPlace, reservations: &Reservations<'_>) -> Vec<u8> {
+    fn request(&self, place: &PromptPlacement, reservations: &Reservations<'_>) -> Vec<u8> {
         let helpers = reservations.entries(&place.helpers);
         let resumed = self.splitter.last_id();
         self.context.for_target(&TargetHead {
@@ -239,7 +239,7 @@
 
     /// Time for which the first event is awaited, in ms. A prompt that nobody else may take is
     /// awaited for as long as its caller stays: silence alone is no failure.
-    fn first_event_wait_ms(&self, place: &PromptPlace) -> u64 {
+    fn first_event_wait_ms(&self, place: &PromptPlacement) -> u64 {
         if !self.has_another_attempt() {
             return self.context.due.since(self.state.now());
         }
@@ -254,7 +254,7 @@
         route.retry_policy.is_idempotent() && self.runs + 1 < route.max_attempts
     }
 
-    fn log_sent(&self, place: &PromptPlace) {
+    fn log_sent(&self, place: &PromptPlacement) {
         let context = self.context;
         let passed_ms = self.state.now().since(context.arrived);
         self.state.log(&Decision::Sent {
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -1,7 +1,7 @@
 use {
     super::{EngineGroup, Roster},
     crate::{
-        PromptAsk, Refusal, Weighed,
+        DecisionInputs, PromptRequest, Refusal,
         names::{FailureDomain, TargetId},
         quotas::{PermitRequest, PermitResponse},
         relays::{FollowRequest, KnownState, RelayStatus},
@@ -182,7 +182,7 @@
     /// Group of engines among which to choose.
     pub group: EngineGroup,
     /// The prompt's size, deadlines and limits.
-    pub prompt: PromptAsk,
+    pub prompt: PromptRequest,
 }
 
 /// Response to a request to choose engines for a prompt.
@@ -203,7 +203,7 @@
     pub first_event_ms: f64,
     /// Inputs of the decision, for the log.
     #[serde(rename = "weighed", default)]
-    pub inputs: Weighed,
+    pub inputs: DecisionInputs,
 }
 
 /// A message between instances. An absent field makes no statement; unknown fields are ignored.
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -18,6 +18,6 @@
 mod serving;
 
 pub use serving::{
-    CallAsk, CallPlace, PromptAsk, PromptPlace, Recipients, Refusal, Serving, StoreDuty,
-    WantedLinks, Weighed,
+    CallPlacement, CallRequest, DecisionInputs, PromptPlacement, PromptRequest, Recipients,
+    Refusal, Serving, StoreRole, WantedLinks,
 };
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -12,10 +12,10 @@
 mod relaying;
 
 pub use {
-    asks::{CallAsk, CallPlace, PromptAsk, PromptPlace, Refusal, Weighed},
+    asks::{CallPlacement, CallRequest, DecisionInputs, PromptPlacement, PromptRequest, Refusal},
     members::WantedLinks,
     news::Recipients,
-    relaying::StoreDuty,
+    relaying::StoreRole,
 };
 
 use {
@@ -30,7 +30,7 @@
         targets::{CallLoads, TargetNotices, TargetRegistry},
     },
     news::News,
-    peers::Behind,
+    peers::PeerLag,
     std::{
         collections::HashMap,
         net::{IpAddr, SocketAddr},
@@ -41,7 +41,7 @@
 
 /// Time until an instance that is to be told of all prompts has been told, in ms: a link opens within
 /// some hundred, and the prompts at work are told with the next look after that.
-const SETTLE_MS: u64 = 1_000;
+const TASK_SETTLING_MS: u64 = 1_000;
 
 /// All that an entry instance knows and decides by.
 #[derive(Debug)]
@@ -71,7 +71,7 @@
     /// new task.
     settled_at: MonoMs,
     /// What peers have known for a while and this instance doesn't.
-    behind: Option<Behind>,
+    behind: Option<PeerLag>,
     /// The relays that this instance goes by, and what it knows through them.
     following: FollowedRelays,
     /// Those that go by this instance.
@@ -121,7 +121,7 @@
     }
 
     /// Switches parts of the decisions off.
-    pub fn switch_off(&mut self, without: Without) {
+    pub fn disable_mechanisms(&mut self, without: Without) {
         self.without = without;
     }
 
@@ -166,14 +166,14 @@
     /// Settles what time alone decides.
     pub fn tick(&mut self, now: MonoMs) {
         self.targets.confirm_removals(now);
-        self.notice_behind(now);
+        self.detect_lag(now);
         for run in self.members.silent_runs(now) {
             self.engines.remove_run(run, &[]);
         }
         self.members.evict_expired(now);
         self.crashes.evict_expired(now);
-        self.rank(now);
-        self.fit_groups(now);
+        self.update_ranks(now);
+        self.resize_groups(now);
         self.tick_relays(now);
         let targets = &self.targets;
         self.engines
@@ -184,10 +184,10 @@
         self.quotas.evict_expired(now);
     }
 
-    fn rank(&mut self, now: MonoMs) {
+    fn update_ranks(&mut self, now: MonoMs) {
         let own = self.own_member(now);
         if self.members.rank(now, &own) || self.settled_at == MonoMs(0) {
-            self.settled_at = now + SETTLE_MS;
+            self.settled_at = now + TASK_SETTLING_MS;
         }
     }
 
@@ -195,7 +195,7 @@
     /// where it changed: while targets were replaced some instances had heard of so many engines at once, and
     /// others not. Each engine then got prompts of two deciders that knew nothing of each other's, and of
     /// 3,936 short prompts in eleven seconds 478 began late.
-    fn fit_groups(&mut self, now: MonoMs) {
+    fn resize_groups(&mut self, now: MonoMs) {
         if let Some(told) = self.members.hub_group_count(now, self.own.peer_address) {
             self.groups.adopt(told);
             return;
@@ -207,7 +207,7 @@
     }
 
     /// The process was paused: what it heard before says nothing of now.
-    pub fn woke(&mut self, now: MonoMs) {
+    pub fn on_process_resumed(&mut self, now: MonoMs) {
         self.members.reset_silence(now);
     }
 }
--- a/crates/serving/src/serving/asks.rs
+++ b/crates/serving/src/serving/asks.rs
@@ -9,14 +9,14 @@
 };
 
 /// Shortest time after which a refused caller may come back, in ms: a pass of a busy engine.
-pub const LEAST_RETRY_MS: u64 = 250;
+pub const MIN_RETRY_AFTER_MS: u64 = 250;
 /// Time that is told to a caller when a service has no target, in ms: about the time in which a
 /// crashed target is back.
 const NO_TARGET_RETRY_MS: u64 = 500;
 
 /// A prompt that wants engines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PromptAsk {
+pub struct PromptRequest {
     /// Service whose engines are asked.
     pub service: ServiceName,
     /// Hash of account, path and body.
@@ -45,7 +45,7 @@
 
 /// Where a prompt goes.
 #[derive(Debug, Clone)]
-pub struct PromptPlace {
+pub struct PromptPlacement {
     /// Its name among the prompts at work.
     pub job: JobId,
     /// The engine that answers.
@@ -60,12 +60,12 @@
     /// When the first event is expected, in ms from now.
     pub first_event_ms: f64,
     /// What was weighed.
-    pub weighed: Weighed,
+    pub weighed: DecisionInputs,
 }
 
 /// A call of a plain service that wants a target.
 #[derive(Debug, Clone)]
-pub struct CallAsk<'a> {
+pub struct CallRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// Hash of account, path and body.
@@ -78,7 +78,7 @@
 
 /// Where a call goes.
 #[derive(Debug, Clone)]
-pub struct CallPlace {
+pub struct CallPlacement {
     /// The target.
     pub target: TargetEntry,
 }
@@ -87,7 +87,7 @@
 /// answer of no length.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Weighed {
+pub struct DecisionInputs {
     /// What the answer is expected to be worth.
     pub gain: f64,
     /// What prompts and streams at work lose by it.
@@ -117,7 +117,7 @@
         retry_after_ms: u64,
         /// What was weighed, unless no engine could take it at all.
         #[serde(default)]
-        weighed: Option<Weighed>,
+        weighed: Option<DecisionInputs>,
     },
     /// All targets of the service take nothing for a while, at least until `retry_after_ms` are over.
     AtLimit {
@@ -140,13 +140,13 @@
             Self::Overloaded { retry_after_ms, .. } | Self::AtLimit { retry_after_ms } => {
                 Some(retry_after_ms)
             }
-            Self::BudgetUsed => Some(LEAST_RETRY_MS),
+            Self::BudgetUsed => Some(MIN_RETRY_AFTER_MS),
             Self::Poison => None,
         }
     }
 
     /// What was weighed where it was found that nothing would come of it in time.
-    pub fn weighed(self) -> Option<Weighed> {
+    pub fn weighed(self) -> Option<DecisionInputs> {
         match self {
             Self::Overloaded { weighed, .. } => weighed,
             Self::NoTarget
--- a/crates/serving/src/serving/calls.rs
+++ b/crates/serving/src/serving/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of plain services, and the budget for repeats.
 
 use {
-    super::{CallAsk, CallPlace, Refusal, Serving},
+    super::{CallPlacement, CallRequest, Refusal, Serving},
     crate::{
         fleet::Crash,
         mechanism::Mechanism,
@@ -15,7 +15,7 @@
 
 impl Serving {
     /// Notes a request that arrived for a service, before any target is chosen.
-    pub fn arrived(&mut self, now: MonoMs, service: &ServiceName) {
+    pub fn record_arrival(&mut self, now: MonoMs, service: &ServiceName) {
         self.budget.record_request(now, service);
     }
 
@@ -23,20 +23,24 @@
     ///
     /// # Errors
     /// A [`Refusal`]; the call has not been sent.
-    pub fn place_call(&mut self, now: MonoMs, ask: &CallAsk<'_>) -> Result<CallPlace, Refusal> {
-        self.may_send(now, ask.service, ask.fingerprint, ask.is_repeat)?;
+    pub fn place_call(
+        &mut self,
+        now: MonoMs,
+        ask: &CallRequest<'_>,
+    ) -> Result<CallPlacement, Refusal> {
+        self.admit_request(now, ask.service, ask.fingerprint, ask.is_repeat)?;
         let mut rng = self.rng.fork();
         let candidates = self.targets.ready(ask.service);
         let open = candidates.filter(|entry| self.closed_until(now, &entry.id).is_none());
         let target = self.calls.choose(now, open, ask.tried, &mut rng);
         let target = target
             .cloned()
-            .ok_or_else(|| self.none_open(now, ask.service))?;
+            .ok_or_else(|| self.refusal_for_closed_targets(now, ask.service))?;
         self.calls.record_sent(&target.id);
-        Ok(CallPlace { target })
+        Ok(CallPlacement { target })
     }
 
-    pub(super) fn may_send(
+    pub(super) fn admit_request(
         &mut self,
         now: MonoMs,
         service: &ServiceName,
@@ -55,12 +59,18 @@
     }
 
     /// Notes that a call that was counted as sent isn't sent after all.
-    pub fn call_withdrawn(&mut self, target: &TargetId) {
+    pub fn record_call_withdrawn(&mut self, target: &TargetId) {
         self.calls.record_withdrawn(target);
     }
 
     /// Notes the end of a call.
-    pub fn call_ended(&mut self, now: MonoMs, target: &TargetId, took_ms: f64, failed: bool) {
+    pub fn record_call_ended(
+        &mut self,
+        now: MonoMs,
+        target: &TargetId,
+        took_ms: f64,
+        failed: bool,
+    ) {
         self.calls.record_ended(now, target, took_ms, failed);
     }
 
@@ -70,13 +80,13 @@
     }
 
     /// Notes that no connection to a target could be had.
-    pub fn unreachable(&mut self, now: MonoMs, target: &TargetId) {
+    pub fn record_unreachable(&mut self, now: MonoMs, target: &TargetId) {
         self.calls.record_unreachable(now, target);
         self.news.for_all().unreachable.push(target.clone());
     }
 
     /// Notes that another target answered where a run was published.
-    pub fn displaced(&mut self, run: &TargetId) {
+    pub fn record_takeover(&mut self, run: &TargetId) {
         let Some(displaced) = self.targets.takeover_of(run) else {
             return;
         };
@@ -89,10 +99,10 @@
     ///
     /// Guards against an engine that has died or is full of others' parts: each further attempt at
     /// the same prompt would name it again and be turned away like the one before.
-    pub fn helper_failed(&mut self, now: MonoMs, address: SocketAddr) {
+    pub fn record_helper_failure(&mut self, now: MonoMs, address: SocketAddr) {
         let helper = self.targets.ready_at(address).map(|entry| entry.id.clone());
         if let Some(helper) = helper {
-            self.unreachable(now, &helper);
+            self.record_unreachable(now, &helper);
         }
     }
 
@@ -104,14 +114,14 @@
     }
 
     /// Notes that a target served a request.
-    pub fn served(&mut self, fingerprint: Fingerprint) {
+    pub fn record_served(&mut self, fingerprint: Fingerprint) {
         if self.crashes.record_served(fingerprint) {
             self.news.for_all().served.push(fingerprint);
         }
     }
 
     /// Notes that a target broke off the work on a request.
-    pub fn crashed(&mut self, now: MonoMs, fingerprint: Fingerprint, target: &TargetId) {
+    pub fn record_crash(&mut self, now: MonoMs, fingerprint: Fingerprint, target: &TargetId) {
         let crash = Crash {
             fingerprint,
             target: target.clone(),
--- a/crates/serving/src/serving/configured.rs
+++ b/crates/serving/src/serving/configured.rs
@@ -22,7 +22,7 @@
 
     /// Puts a version in force unless a newer one is. Versions only go up within a run, whatever
     /// order the store and the peers tell them in: callers would see a change undone otherwise.
-    pub fn put_in_force(&mut self, configuration: Configuration, text: String) -> bool {
+    pub fn activate_configuration(&mut self, configuration: Configuration, text: String) -> bool {
         if configuration.version <= self.version() {
             return false;
         }
@@ -49,7 +49,7 @@
     }
 
     /// Whether the store didn't answer when it was last asked.
-    pub fn lost_store(&self) -> bool {
+    pub fn is_store_lost(&self) -> bool {
         self.targets.is_store_lost()
     }
 
@@ -59,12 +59,12 @@
     }
 
     /// Takes in a change of a target that the store published. Returns whether it takes effect.
-    pub fn target_published(&mut self, now: MonoMs, change: TargetChange) -> bool {
+    pub fn apply_store_change(&mut self, now: MonoMs, change: TargetChange) -> bool {
         self.targets.apply_store_change(now, change).is_some()
     }
 
     /// Takes in all targets that the store held at a revision.
-    pub fn targets_published(&mut self, now: MonoMs, revision: u64, all: Vec<TargetChange>) {
+    pub fn apply_store_snapshot(&mut self, now: MonoMs, revision: u64, all: Vec<TargetChange>) {
         self.targets.apply_store_snapshot(now, revision, all);
     }
 }
--- a/crates/serving/src/serving/members.rs
+++ b/crates/serving/src/serving/members.rs
@@ -35,12 +35,12 @@
     }
 
     /// Number of peers that are taken for alive.
-    pub fn peers(&self, now: MonoMs) -> usize {
+    pub fn live_peer_count(&self, now: MonoMs) -> usize {
         self.members.live_members(now).count()
     }
 
     /// Takes in addresses at which peers may be found, as the settings have them.
-    pub fn seeded(&mut self, addresses: &[SocketAddr]) {
+    pub fn add_seeds(&mut self, addresses: &[SocketAddr]) {
         self.members.add_seeds(self.own.peer_address, addresses);
     }
 
@@ -50,7 +50,7 @@
             ready: self.is_ready(),
             version: self.version(),
             revision: self.targets.revision(),
-            heartbeat_interval_ms: self.beat_ms(),
+            heartbeat_interval_ms: self.heartbeat_interval_ms(),
             stated_at_ms: now.0,
             ..self.own.clone()
         }
@@ -62,7 +62,11 @@
         let mut own = self
             .members
             .needed_links(now, own_address, &self.own_groups());
-        own.extend(self.follows(now).into_iter().map(|(relay, _)| relay));
+        own.extend(
+            self.follow_requests(now)
+                .into_iter()
+                .map(|(relay, _)| relay),
+        );
         let asking = self.members.link_requesters(now);
         let asked = asking.filter(|address| !own.contains(address)).collect();
         WantedLinks { own, asked }
@@ -98,10 +102,10 @@
 
     /// What a link to a peer begins with: this instance, where peers link, and whom it hears.
     pub fn greeting(&self, now: MonoMs, to: SocketAddr, asks_for_link: bool) -> Frame {
-        let mut follows = self.follows(now).into_iter();
+        let mut follows = self.follow_requests(now).into_iter();
         let beat = HeartbeatFrame {
             follow_request: follows.find_map(|(relay, follow)| (relay == to).then_some(follow)),
-            ..self.beat(asks_for_link)
+            ..self.heartbeat_part(asks_for_link)
         };
         Frame {
             member: Some(self.own_member(now)),
@@ -116,7 +120,7 @@
 
     /// Whether a heartbeat is due ahead of time, since this instance began or ceased to serve: until
     /// its peers know, callers aren't sent to it, or still are.
-    pub fn is_beat_due(&self) -> bool {
+    pub fn is_heartbeat_due(&self) -> bool {
         self.told
             .as_ref()
             .is_some_and(|told| told.ready != self.is_ready())
@@ -141,14 +145,14 @@
         peers.truncate(BEAT_ADDRESSES);
         Frame {
             member: is_news.then_some(own),
-            heartbeat: Some(self.beat(false)),
+            heartbeat: Some(self.heartbeat_part(false)),
             peers,
             ..Frame::default()
         }
     }
 
     /// Time between two heartbeats, in ms.
-    pub fn beat_ms(&self) -> u64 {
+    pub fn heartbeat_interval_ms(&self) -> u64 {
         if self.members.is_large() {
             LARGE_FLEET_BEAT_MS
         } else {
@@ -156,7 +160,7 @@
         }
     }
 
-    fn beat(&self, asks_for_link: bool) -> HeartbeatFrame {
+    fn heartbeat_part(&self, asks_for_link: bool) -> HeartbeatFrame {
         HeartbeatFrame {
             version: self.version(),
             revision: self.targets.revision(),
@@ -178,7 +182,7 @@
     }
 
     /// A link to a peer broke.
-    pub fn peer_lost(&mut self, now: MonoMs, address: SocketAddr) {
+    pub fn on_link_lost(&mut self, now: MonoMs, address: SocketAddr) {
         self.members.suspect(now, address);
     }
 }
--- a/crates/serving/src/serving/news.rs
+++ b/crates/serving/src/serving/news.rs
@@ -68,7 +68,7 @@
     }
 
     /// The peers that are told of this instance's prompts, and for which groups of engines.
-    pub fn informed(&self) -> BTreeMap<SocketAddr, Vec<EngineGroup>> {
+    pub fn informed_deciders(&self) -> BTreeMap<SocketAddr, Vec<EngineGroup>> {
         let mut informed: BTreeMap<SocketAddr, Vec<EngineGroup>> = BTreeMap::new();
         for group in self.own_groups() {
             for address in self.members.ranks().deciders(group) {
@@ -82,7 +82,7 @@
 
     /// All prompts that this instance has at work on some groups of engines, for a peer that is to
     /// know of them from now on.
-    pub fn jobs(&self, now: MonoMs, groups: &[EngineGroup]) -> Frame {
+    pub fn job_snapshot(&self, now: MonoMs, groups: &[EngineGroup]) -> Frame {
         let is_theirs = |engine: &TargetId| groups.iter().any(|group| group.contains(engine));
         let jobs = || {
             self.engines
--- a/crates/serving/src/serving/notices.rs
+++ b/crates/serving/src/serving/notices.rs
@@ -14,7 +14,7 @@
 
     /// Takes in what a target says of itself in its answer to a request of `sent_at`. Returns whether
     /// that is news.
-    pub fn noticed(
+    pub fn apply_target_notice(
         &mut self,
         now: MonoMs,
         sent_at: MonoMs,
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -27,7 +27,7 @@
 
 /// What a peer knew first.
 #[derive(Debug, Clone, Copy)]
-pub struct Behind {
+pub struct PeerLag {
     extent: KnownState,
     since: MonoMs,
 }
@@ -49,7 +49,7 @@
 
 impl Serving {
     /// Takes in the pace that an engine reports of itself.
-    pub fn pace_reported(&mut self, now: MonoMs, engine: &TargetEntry, pace: f64) {
+    pub fn apply_reported_pace(&mut self, now: MonoMs, engine: &TargetEntry, pace: f64) {
         if !self.without.has(Mechanism::ReportedPace) {
             return;
         }
@@ -67,9 +67,9 @@
     ///
     /// Guards against changes that come one after the other: some peer has always just heard of one more, so
     /// that only what this instance still lacks of what was known then counts.
-    pub(super) fn notice_behind(&mut self, now: MonoMs) {
+    pub(super) fn detect_lag(&mut self, now: MonoMs) {
         let extent = self.newest_known();
-        let first_ahead = self.ahead(now).next().map(|member| Behind {
+        let first_ahead = self.peers_ahead(now).next().map(|member| PeerLag {
             extent: KnownState {
                 revision: member.revision,
                 version: member.version,
@@ -89,7 +89,7 @@
         }
     }
 
-    fn ahead(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
+    fn peers_ahead(&self, now: MonoMs) -> impl Iterator<Item = &Member> {
         let (version, revision) = (self.version(), self.targets.revision());
         self.members
             .live_members(now)
@@ -98,7 +98,7 @@
 
     /// Whether peers have known something published for so long that this instance's own way to
     /// the store must be out of order, however it looks.
-    pub fn is_behind(&self, now: MonoMs) -> bool {
+    pub fn is_lagging(&self, now: MonoMs) -> bool {
         self.behind.is_some_and(|behind| {
             let still_lacks = !self.newest_known().covers(&behind.extent);
             still_lacks && now.since(behind.since) >= BEHIND_MS
@@ -110,12 +110,12 @@
     /// Guards against a store that turns this instance away, or a connection to it that has gone
     /// silent, while it serves the others: targets that leave would get requests, and keys that
     /// were taken away would count.
-    pub fn wants(&self, now: MonoMs) -> Option<(Vec<SocketAddr>, Frame)> {
-        if !self.lost_store() && self.version() != 0 && !self.is_behind(now) {
+    pub fn catch_up_request(&self, now: MonoMs) -> Option<(Vec<SocketAddr>, Frame)> {
+        if !self.is_store_lost() && self.version() != 0 && !self.is_lagging(now) {
             return None;
         }
         // Those nearby first: bytes between failure domains cost, and take longer.
-        let mut ahead: Vec<&Member> = self.ahead(now).collect();
+        let mut ahead: Vec<&Member> = self.peers_ahead(now).collect();
         ahead.sort_by_key(|member| {
             let is_far = member.failure_domain != self.own.failure_domain;
             (is_far, Reverse(member.cpu_millis))
@@ -127,7 +127,7 @@
             .collect();
         let wants = CatchUpRequest {
             reply_to: self.own.peer_address,
-            known: self.extent(),
+            known: self.known_state(),
         };
         let frame = Frame {
             catch_up_request: Some(wants),
@@ -146,11 +146,11 @@
         decode: impl Fn(&str) -> Option<Configuration>,
     ) -> Vec<TargetChange> {
         if let Some(member) = frame.member {
-            self.take_member(now, member);
+            self.apply_member(now, member);
         }
         let address = self.members.record_frame(now, from);
         if let Some(address) = address {
-            self.take_beat(now, address, frame.heartbeat, frame.roster);
+            self.apply_heartbeat(now, address, frame.heartbeat, frame.roster);
         }
         let own = self.own.peer_address;
         self.members.add_learned_addresses(now, own, &frame.peers);
@@ -158,12 +158,12 @@
             && published.version > self.version()
             && let Some(configuration) = decode(&published.text)
         {
-            self.put_in_force(configuration, published.text);
+            self.activate_configuration(configuration, published.text);
         }
         let changes = match (frame.relay_status, address) {
-            (Some(word), Some(relay)) => self.take_word(now, relay, &word, frame.targets),
+            (Some(word), Some(relay)) => self.apply_relay_status(now, relay, &word, frame.targets),
             (Some(_), None) => Vec::new(),
-            (None, _) => self.take_changes(now, frame.targets),
+            (None, _) => self.apply_changes(now, frame.targets),
         };
         let warnings = Warnings {
             crashes: frame.crashes,
@@ -173,7 +173,7 @@
             limits: frame.limits,
             displaced: frame.displaced,
         };
-        self.take_warnings(now, warnings);
+        self.apply_warnings(now, warnings);
         for seen in &frame.paces {
             if let Some(spec) = self.spec_of_target(&seen.id) {
                 self.engines.apply_pace(now, &spec, &seen.id, seen.pace);
@@ -188,11 +188,11 @@
         }
         for placed in frame.placed {
             if let Some(spec) = self.spec_of(&placed) {
-                self.count_placed(now, &spec, placed);
+                self.add_placed_job(now, &spec, placed);
             }
         }
         for job in frame.started {
-            self.note_begun(now, job);
+            self.apply_first_event(now, job);
         }
         for job in frame.failed {
             self.engines.record_failure(now, job);
@@ -204,7 +204,7 @@
     }
 
     /// Takes in changes of targets. Returns those that are news.
-    pub(super) fn take_changes(
+    pub(super) fn apply_changes(
         &mut self,
         now: MonoMs,
         changes: Vec<TargetChange>,
@@ -214,18 +214,18 @@
         })
     }
 
-    fn take_member(&mut self, now: MonoMs, member: Member) {
+    fn apply_member(&mut self, now: MonoMs, member: Member) {
         let is_news = self.members.has_changed(&member);
         if let Some(former) = self.members.apply_member(now, member) {
             self.engines.remove_run(former, &[]);
         }
         if is_news {
             self.is_roster_due = true;
-            self.rank(now);
+            self.update_ranks(now);
         }
     }
 
-    fn take_beat(
+    fn apply_heartbeat(
         &mut self,
         now: MonoMs,
         from: SocketAddr,
@@ -245,13 +245,13 @@
         for former in self.members.apply_roster(now, own, from, roster) {
             self.engines.remove_run(former, &[]);
         }
-        self.rank(now);
+        self.update_ranks(now);
     }
 
     /// Takes in requests that break their targets or don't, and targets that can't be reached. A hub
     /// passes on what is new, since not all instances link to each other: such a request may come to
     /// any instance next, and any instance may have streams at such a target.
-    fn take_warnings(&mut self, now: MonoMs, told: Warnings) {
+    fn apply_warnings(&mut self, now: MonoMs, told: Warnings) {
         let new = Warnings {
             crashes: keep(told.crashes, |crash| self.crashes.record_crash(now, crash)),
             served: keep(told.served, |request| self.crashes.record_served(*request)),
@@ -287,7 +287,7 @@
         self.configuration.as_ref()?.service(service)?.engine
     }
 
-    pub(super) fn note_begun(&mut self, now: MonoMs, job: JobId) {
+    pub(super) fn apply_first_event(&mut self, now: MonoMs, job: JobId) {
         let Some(spec) = self
             .engines
             .job(job)
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -1,7 +1,9 @@
 //! Prompts: which engines read them, and what was seen of it.
 
 use {
-    super::{PromptAsk, PromptPlace, Refusal, Serving, Weighed, asks::LEAST_RETRY_MS},
+    super::{
+        DecisionInputs, PromptPlacement, PromptRequest, Refusal, Serving, asks::MIN_RETRY_AFTER_MS,
+    },
     crate::{
         catalog::EngineSpec,
         engines::EngineLoad,
@@ -24,8 +26,8 @@
     ///
     /// # Errors
     /// A [`Refusal`]; the prompt has not been sent.
-    pub fn may_place(&mut self, now: MonoMs, ask: &PromptAsk) -> Result<JobId, Refusal> {
-        self.may_send(now, &ask.service, ask.fingerprint, ask.is_repeat)?;
+    pub fn admit_prompt(&mut self, now: MonoMs, ask: &PromptRequest) -> Result<JobId, Refusal> {
+        self.admit_request(now, &ask.service, ask.fingerprint, ask.is_repeat)?;
         self.next_job += 1;
         Ok(JobId {
             run: self.own.run,
@@ -44,7 +46,7 @@
 
     /// Notes that a peer is asked to choose for a prompt: it may have counted it as sent, whatever
     /// becomes of its answer.
-    pub fn asked_in(&mut self, job: JobId, group: EngineGroup) {
+    pub fn record_placement_request(&mut self, job: JobId, group: EngineGroup) {
         self.asked_groups.entry(job).or_default().push(group);
     }
 
@@ -58,7 +60,7 @@
         now: MonoMs,
         job: JobId,
         group: EngineGroup,
-        ask: &PromptAsk,
+        ask: &PromptRequest,
     ) -> Result<Placement, Refusal> {
         let spec = self
             .spec_of_service(&ask.service)
@@ -84,8 +86,8 @@
             .collect();
         let choice =
             choose(now, &spec, &shape, &candidates).ok_or_else(|| overloaded(&loads, None))?;
-        let weighed = self.weigh(now, &spec, &shape, &choice, entries.len());
-        if self.is_useless(&shape, &weighed) && !ask.is_resumed {
+        let weighed = self.decision_inputs(now, &spec, &shape, &choice, entries.len());
+        if self.is_not_worthwhile(&shape, &weighed) && !ask.is_resumed {
             return Err(overloaded(&loads, Some(weighed)));
         }
         let engines = choice
@@ -104,7 +106,7 @@
             goes_first: choice.goes_first,
             first_event_ms: choice.first_event_ms as u32,
         };
-        self.count_placed(now, &spec, placed.clone());
+        self.add_placed_job(now, &spec, placed.clone());
         self.news.of(group).placed.push(placed.clone());
         Ok(Placement {
             placed,
@@ -119,7 +121,7 @@
         now: MonoMs,
         spec: &EngineSpec,
         group: EngineGroup,
-        ask: &PromptAsk,
+        ask: &PromptRequest,
         engines: usize,
     ) -> PromptShape {
         let tokens = ask.prompt_tokens + u64::from(ask.most_answer_tokens);
@@ -136,20 +138,20 @@
         }
     }
 
-    fn weigh(
+    fn decision_inputs(
         &self,
         now: MonoMs,
         spec: &EngineSpec,
         shape: &PromptShape,
         choice: &Choice,
         engines: usize,
-    ) -> Weighed {
+    ) -> DecisionInputs {
         let time_loss = if self.without.has(Mechanism::PriceOfTime) {
             work_loss(spec, shape.prompt_tokens, shape.utilization)
         } else {
             0.0
         };
-        Weighed {
+        DecisionInputs {
             gain: choice.gain,
             harm: choice.cost_to_others,
             time_loss,
@@ -163,7 +165,7 @@
 
     /// Whether nobody would wait for the answer, or others would lose more by it than it is worth. A
     /// stream that its caller has a part of is resumed all the same.
-    fn is_useless(&self, shape: &PromptShape, weighed: &Weighed) -> bool {
+    fn is_not_worthwhile(&self, shape: &PromptShape, weighed: &DecisionInputs) -> bool {
         let costs_too_much = weighed.harm + weighed.time_loss > weighed.gain;
         weighed.first_event_ms > shape.patience_ms
             || costs_too_much && self.without.has(Mechanism::RefusalByWorth)
@@ -189,7 +191,11 @@
 
     /// Takes up engines that were chosen here or by a peer; `None` if this instance doesn't know
     /// all of them as ready, which the peer may not have heard yet.
-    pub fn take_up(&mut self, now: MonoMs, placement: &Placement) -> Option<PromptPlace> {
+    pub fn accept_placement(
+        &mut self,
+        now: MonoMs,
+        placement: &Placement,
+    ) -> Option<PromptPlacement> {
         let placed = &placement.placed;
         let entries: Option<Vec<TargetEntry>> = placed
             .engines
@@ -198,10 +204,10 @@
             .collect();
         let mut entries = entries.filter(|entries| !entries.is_empty())?;
         if let Some(spec) = self.spec_of(placed) {
-            self.count_placed(now, &spec, placed.clone());
+            self.add_placed_job(now, &spec, placed.clone());
         }
         let helpers = entries.split_off(1);
-        Some(PromptPlace {
+        Some(PromptPlacement {
             job: placed.job,
             engine: entries.remove(0),
             helpers,
@@ -212,14 +218,19 @@
         })
     }
 
-    pub(super) fn count_placed(&mut self, now: MonoMs, spec: &EngineSpec, placed: PlacedPrompt) {
+    pub(super) fn add_placed_job(&mut self, now: MonoMs, spec: &EngineSpec, placed: PlacedPrompt) {
         if let Some(engine) = placed.engines.first() {
             let group = self.groups.group_of(engine);
             self.engines.add_job(now, spec, group, placed);
         }
     }
 
-    fn usable_engines(&self, now: MonoMs, group: EngineGroup, ask: &PromptAsk) -> Vec<TargetId> {
+    fn usable_engines(
+        &self,
+        now: MonoMs,
+        group: EngineGroup,
+        ask: &PromptRequest,
+    ) -> Vec<TargetId> {
         let ready: Vec<&TargetId> = self
             .targets
             .ready(&ask.service)
@@ -242,7 +253,7 @@
 
     /// Whether a stream is to be moved to another engine: its own can't be reached, and there is one
     /// that can.
-    pub fn is_to_move(&self, now: MonoMs, engine: &TargetEntry) -> bool {
+    pub fn should_move_stream(&self, now: MonoMs, engine: &TargetEntry) -> bool {
         let is_lost = |id: &str| self.calls.is_unreachable(now, id);
         is_lost(&engine.id)
             && self
@@ -257,15 +268,15 @@
     }
 
     /// Notes the first event of a prompt.
-    pub fn prompt_begun(&mut self, now: MonoMs, job: JobId) {
-        self.note_begun(now, job);
+    pub fn record_first_event(&mut self, now: MonoMs, job: JobId) {
+        self.apply_first_event(now, job);
         for group in self.groups_of(job) {
             self.news.of(group).started.push(job);
         }
     }
 
     /// Notes that the engine that was to answer a prompt failed it.
-    pub fn prompt_failed(&mut self, now: MonoMs, job: JobId) {
+    pub fn record_prompt_failure(&mut self, now: MonoMs, job: JobId) {
         for group in self.groups_of(job) {
             self.news.of(group).failed.push(job);
         }
@@ -273,7 +284,7 @@
     }
 
     /// Notes that a prompt is over.
-    pub fn prompt_ended(&mut self, job: JobId) {
+    pub fn record_prompt_ended(&mut self, job: JobId) {
         for group in self.groups_of(job) {
             self.news.of(group).ended.push(job);
         }
@@ -282,7 +293,7 @@
     }
 
     /// Notes an event of a stream of an engine, which tells when its passes end.
-    pub fn event_seen(&mut self, now: MonoMs, engine: &TargetEntry) {
+    pub fn record_stream_event(&mut self, now: MonoMs, engine: &TargetEntry) {
         let Some(spec) = self.spec_of_service(&engine.service) else {
             return;
         };
@@ -302,11 +313,11 @@
 }
 
 /// A refusal with the time after which half of what is waiting to be read will have been read.
-fn overloaded(loads: &[&EngineLoad], weighed: Option<Weighed>) -> Refusal {
+fn overloaded(loads: &[&EngineLoad], weighed: Option<DecisionInputs>) -> Refusal {
     let waiting_ms: f64 = loads.iter().map(|load| load.total_ms()).sum();
     let mean_ms = waiting_ms / loads.len().max(1) as f64;
     Refusal::Overloaded {
-        retry_after_ms: ((mean_ms / 2.0) as u64).max(LEAST_RETRY_MS),
+        retry_after_ms: ((mean_ms / 2.0) as u64).max(MIN_RETRY_AFTER_MS),
         weighed,
     }
 }
--- a/crates/serving/src/serving/quotas.rs
+++ b/crates/serving/src/serving/quotas.rs
@@ -5,7 +5,7 @@
 //! exceeded by all together.
 
 use {
-    super::{Refusal, Serving, asks::LEAST_RETRY_MS},
+    super::{Refusal, Serving, asks::MIN_RETRY_AFTER_MS},
     crate::{
         fleet::{Frame, hash},
         mechanism::Mechanism,
@@ -33,27 +33,27 @@
 
 impl Serving {
     /// Whether a request may be sent to a target now.
-    pub fn permission(&mut self, now: MonoMs, target: &TargetId) -> Permission {
+    pub fn request_permission(&mut self, now: MonoMs, target: &TargetId) -> Permission {
         if self.closed_until(now, target).is_some() {
             return Permission::Refused;
         }
         let Some(limit_per_s) = self.limit_per_s(target) else {
             return Permission::Granted;
         };
-        match self.quota(target, limit_per_s) {
+        match self.quota_for(target, limit_per_s) {
             Quota::Peer(holder) => {
                 let reply_to = Some(self.own.peer_address);
-                let ask = self.permit_ask(target, limit_per_s, reply_to);
+                let ask = self.permit_request(target, limit_per_s, reply_to);
                 Permission::AskHolder {
                     holder,
                     request: ask,
                 }
             }
-            Quota::Own { per_s } => self.take(now, target, per_s),
+            Quota::Own { per_s } => self.take_token(now, target, per_s),
         }
     }
 
-    fn take(&mut self, now: MonoMs, target: &TargetId, per_s: f64) -> Permission {
+    fn take_token(&mut self, now: MonoMs, target: &TargetId, per_s: f64) -> Permission {
         let bucket = self.quotas.bucket(now, target);
         match bucket.take(now, per_s) {
             Ok(()) => Permission::Granted,
@@ -65,7 +65,7 @@
     }
 
     /// Takes in the answer of a holder, `None` if it gave none in time. Returns whether the request may be sent.
-    pub fn permit_answered(
+    pub fn apply_permit_response(
         &mut self,
         now: MonoMs,
         target: &TargetId,
@@ -80,7 +80,11 @@
 
     /// Answers another instance that takes this one for the holder of a target's quota; `None` if it only
     /// tells of a request.
-    pub fn grant(&mut self, now: MonoMs, ask: &PermitRequest) -> Option<PermitResponse> {
+    pub fn answer_permit_request(
+        &mut self,
+        now: MonoMs,
+        ask: &PermitRequest,
+    ) -> Option<PermitResponse> {
         let is_holder = self.holder(&ask.target) == Some(self.own.peer_address);
         let bucket = self.quotas.bucket(now, &ask.target);
         if ask.reply_to.is_none() {
@@ -100,12 +104,16 @@
 
     /// Notes a call that is sent to a target in any case. Returns what to tell whom, if the target names a limit and
     /// another instance is its holder.
-    pub fn sent_anyway(&mut self, now: MonoMs, target: &TargetId) -> Option<(SocketAddr, Frame)> {
+    pub fn note_unpermitted_send(
+        &mut self,
+        now: MonoMs,
+        target: &TargetId,
+    ) -> Option<(SocketAddr, Frame)> {
         let limit_per_s = self.limit_per_s(target)?;
-        match self.quota(target, limit_per_s) {
+        match self.quota_for(target, limit_per_s) {
             Quota::Peer(holder) => {
                 let frame = Frame {
-                    permit_request: Some(self.permit_ask(target, limit_per_s, None)),
+                    permit_request: Some(self.permit_request(target, limit_per_s, None)),
                     ..Frame::default()
                 };
                 Some((holder, frame))
@@ -117,7 +125,7 @@
         }
     }
 
-    fn permit_ask(
+    fn permit_request(
         &mut self,
         target: &TargetId,
         limit_per_s: f64,
@@ -133,7 +141,7 @@
     }
 
     /// What this instance goes by that sends to a target with a limit.
-    fn quota(&self, target: &TargetId, limit_per_s: f64) -> Quota {
+    fn quota_for(&self, target: &TargetId, limit_per_s: f64) -> Quota {
         match self.holder(target) {
             Some(holder) if holder != self.own.peer_address => Quota::Peer(holder),
             Some(_own) => Quota::Own { per_s: limit_per_s },
@@ -189,11 +197,11 @@
     }
 
     /// Why none of a service's targets takes a request now.
-    pub fn none_open(&self, now: MonoMs, service: &str) -> Refusal {
+    pub fn refusal_for_closed_targets(&self, now: MonoMs, service: &str) -> Refusal {
         let until = |entry: &TargetEntry| self.closed_until(now, &entry.id);
         let opens_at = self.targets.ready(service).filter_map(until).min();
         opens_at.map_or(Refusal::NoTarget, |at| Refusal::AtLimit {
-            retry_after_ms: at.since(now).max(LEAST_RETRY_MS),
+            retry_after_ms: at.since(now).max(MIN_RETRY_AFTER_MS),
         })
     }
 }
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -30,7 +30,7 @@
 
 /// What an instance does about the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreDuty {
+pub enum StoreRole {
     /// It watches the store, for itself and those that go by it.
     Watch,
     /// It goes by a relay.
@@ -42,7 +42,7 @@
     },
 }
 
-impl StoreDuty {
+impl StoreRole {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -60,14 +60,14 @@
     }
 
     /// What this instance does about the store now.
-    pub fn store_duty(&self, now: MonoMs) -> StoreDuty {
+    pub fn store_role(&self, now: MonoMs) -> StoreRole {
         let is_relay = !self.followers.is_empty() || self.is_first_reader(now);
         if !self.members.is_large() || is_relay {
-            return StoreDuty::Watch;
+            return StoreRole::Watch;
         }
         match self.following.freshest(now) {
-            Some(relay) => StoreDuty::Follow(relay),
-            None => StoreDuty::StandIn {
+            Some(relay) => StoreRole::Follow(relay),
+            None => StoreRole::StandIn {
                 is_store_lost: self.following.is_store_lost(now),
             },
         }
@@ -93,11 +93,11 @@
 
     /// The relays that this instance goes by, and what it asks of each in a heartbeat; the first one is to
     /// tell it each change.
-    pub fn follows(&self, now: MonoMs) -> Vec<(SocketAddr, FollowRequest)> {
+    pub fn follow_requests(&self, now: MonoMs) -> Vec<(SocketAddr, FollowRequest)> {
         if !self.members.is_large() || self.is_first_reader(now) {
             return Vec::new();
         }
-        let known = self.extent();
+        let known = self.known_state();
         let follow = |wants_changes| FollowRequest {
             known,
             wants_changes,
@@ -109,7 +109,7 @@
     }
 
     /// How far this instance's knowledge goes.
-    pub(super) fn extent(&self) -> KnownState {
+    pub(super) fn known_state(&self) -> KnownState {
         let known_to = self.following.known_to().unwrap_or(0);
         KnownState {
             revision: self.targets.confirmed_revision(known_to),
@@ -134,7 +134,7 @@
     }
 
     /// The store told all that was published up to a revision.
-    pub fn store_told(&mut self, now: MonoMs, revision: u64) {
+    pub fn mark_complete_at(&mut self, now: MonoMs, revision: u64) {
         self.following.mark_complete_at(revision);
         self.read_at = Some(now);
         self.followers.schedule_update();
@@ -153,14 +153,14 @@
             self.followers.schedule_update();
         }
         // What is removed once the store is back may have lapsed only, whoever noticed its absence.
-        let duty = self.store_duty(now);
-        if matches!(duty, StoreDuty::StandIn { is_store_lost } if is_store_lost) {
+        let duty = self.store_role(now);
+        if matches!(duty, StoreRole::StandIn { is_store_lost } if is_store_lost) {
             self.targets.store_failed();
         }
     }
 
     /// Takes in a relay's word with what came with it. Returns what is news.
-    pub(super) fn take_word(
+    pub(super) fn apply_relay_status(
         &mut self,
         now: MonoMs,
         from: SocketAddr,
@@ -172,11 +172,11 @@
             None => self
                 .targets
                 .apply_peer_snapshot(now, word.known.revision, targets),
-            Some(_) => self.take_changes(now, targets),
+            Some(_) => self.apply_changes(now, targets),
         };
         let version = self.version();
         self.following.apply_status(now, from, word, version);
-        if matches!(self.store_duty(now), StoreDuty::Follow(_)) {
+        if matches!(self.store_role(now), StoreRole::Follow(_)) {
             self.targets.store_answers(now);
         }
         news
@@ -188,18 +188,18 @@
         now: MonoMs,
         is_linked: impl Fn(&SocketAddr) -> bool,
     ) -> Vec<(Vec<SocketAddr>, Frame)> {
-        let Some(word) = self.word(now) else {
+        let Some(word) = self.relay_status(now) else {
             return Vec::new();
         };
         let shipment = self.followers.next_update(now, word.known, is_linked);
         let mut news: Vec<(Vec<SocketAddr>, Frame)> = Vec::new();
         for (extent, to) in shipment.lagging {
-            news.push((to, self.lacking(extent, Some(word))));
+            news.push((to, self.missing_state(extent, Some(word))));
         }
         if !shipment.changes_to.is_empty() {
             news.push((
                 shipment.changes_to,
-                self.lacking(shipment.previous, Some(word)),
+                self.missing_state(shipment.previous, Some(word)),
             ));
         }
         if !shipment.status_to.is_empty() {
@@ -209,11 +209,11 @@
     }
 
     /// What this instance can say of its knowledge, if it was ever told all.
-    fn word(&self, now: MonoMs) -> Option<RelayStatus> {
+    fn relay_status(&self, now: MonoMs) -> Option<RelayStatus> {
         let followed = self.following.freshest(now);
         let told_at = followed.map(|relay| MonoMs(now.0.saturating_sub(relay.age_ms)));
         let as_of = self.read_at.max(told_at)?;
-        let known = self.extent();
+        let known = self.known_state();
         Some(RelayStatus {
             known,
             age_ms: now.since(as_of),
@@ -223,13 +223,13 @@
     }
 
     /// What a peer lacks that is behind.
-    pub fn reply_to(&self, now: MonoMs, wants: &CatchUpRequest) -> Frame {
-        self.lacking(wants.known, self.word(now))
+    pub fn catch_up_response(&self, now: MonoMs, wants: &CatchUpRequest) -> Frame {
+        self.missing_state(wants.known, self.relay_status(now))
     }
 
     /// What somebody lacks who knows all up to an extent, with a word that confirms the rest, if this instance
     /// can give one.
-    fn lacking(&self, extent: KnownState, word: Option<RelayStatus>) -> Frame {
+    fn missing_state(&self, extent: KnownState, word: Option<RelayStatus>) -> Frame {
         let is_known = extent.revision > 0 && self.targets.has_removals_since(extent.revision);
         // A list of all targets tells removals by what it lacks, which only a word makes certain.
         let since = (is_known || word.is_none()).then_some(extent.revision);
