--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -121,7 +121,7 @@
             reason: message,
             retry_after_ms,
             fingerprint: context.fingerprint_text(),
-            weighed: refusal.weighed(),
+            weighed: refusal.inputs(),
         });
         Self::own(answer, 503, message, retry_after_ms).await
     }
--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -112,11 +112,15 @@
     fn open_missing(&self, now: MonoMs) -> HashSet<SocketAddr> {
         let state = &self.state;
         let wanted = |address: &SocketAddr| {
-            self.wanted.own.contains(address) || self.wanted.asked.contains(address)
+            self.wanted.own.contains(address) || self.wanted.requested.contains(address)
         };
         let linked = state.links.retain(wanted);
         let own = self.wanted.own.iter().map(|address| (*address, true));
-        let asked = self.wanted.asked.iter().map(|address| (*address, false));
+        let asked = self
+            .wanted
+            .requested
+            .iter()
+            .map(|address| (*address, false));
         for (address, asks_for_link) in own.chain(asked) {
             if let Some(queue) = state.links.open(address) {
                 let first = state.serving().greeting(now, address, asks_for_link);
@@ -168,7 +172,7 @@
         for (recipients, frame) in news {
             match recipients {
                 Recipients::All => self.state.send_to_all(&frame),
-                Recipients::Some(to) => self.state.send(&to, &frame),
+                Recipients::Peers(to) => self.state.send(&to, &frame),
             }
         }
     }
@@ -214,7 +218,7 @@
     /// relays what it knows.
     fn beat(&self, now: MonoMs) {
         let mut heartbeat = self.state.serving().heartbeat(now);
-        let asked: Vec<SocketAddr> = self.wanted.asked.iter().copied().collect();
+        let asked: Vec<SocketAddr> = self.wanted.requested.iter().copied().collect();
         self.state.send(&asked, &heartbeat);
         let Some(beat) = heartbeat.heartbeat else {
             return;
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -20,7 +20,7 @@
     async_std::task::{self, JoinHandle},
     std::{env, fs, path::PathBuf, sync::Arc},
     whinlatch_platform::{InstanceSettings, SETTINGS_VARIABLE, read_settings},
-    whinlatch_serving::{Serving, StoreRole, fleet::Member, mechanism::Without},
+    whinlatch_serving::{Serving, StoreRole, fleet::Member, mechanism::DisabledMechanisms},
 };
 
 /// Time between two looks whether a leaving instance is idle, in ms.
@@ -39,7 +39,7 @@
     /// Whether the settings are checked and nothing else is done.
     pub check: bool,
     /// Parts of the decisions that are switched off.
-    pub without: Without,
+    pub without: DisabledMechanisms,
     /// Port of the counters, in place of the one that the settings give.
     pub metrics_port: Option<u16>,
 }
@@ -98,7 +98,7 @@
     }
 
     /// Switches parts of the decisions off.
-    pub fn switch_off(&self, without: Without) {
+    pub fn switch_off(&self, without: DisabledMechanisms) {
         self.state.serving().disable_mechanisms(without);
     }
 
--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -145,7 +145,7 @@
             fingerprint: context.fingerprint,
             prompt_tokens: prompt.prompt_tokens,
             answer_tokens: hint.min(most.max(1)),
-            most_answer_tokens: most,
+            max_answer_tokens: most,
             slack_ms: limit_ms.cast_signed() - passed_ms.cast_signed(),
             pause_limit_ms,
             patience_ms: patience_ms.min(context.due.since(now)),
@@ -272,7 +272,7 @@
             pause_limit_ms: context.route.pause_limit_ms,
             fingerprint: context.fingerprint_text(),
             attempt: self.answer.note_sent(),
-            weighed: Some(place.weighed),
+            weighed: Some(place.inputs),
         });
     }
 }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions of an entry instance that serves published routes: which route and client account a
-//! request belongs to, which targets it goes to, whether it may be tried again, who the other
-//! instances are and what they are told.
+//! Decisions of an entry instance that serves published routes: the route and client account of a request,
+//! the targets to which it is sent, whether it may be retried, and what the instance learns from and
+//! reports to its peers.
 //!
-//! No sockets, clocks or threads: each call takes the moment at which it is made.
+//! The crate has no sockets, clocks or threads: each call takes the time at which it is made.
 
 pub mod catalog;
 pub mod engines;
--- a/crates/serving/src/mechanism.rs
+++ b/crates/serving/src/mechanism.rs
@@ -1,51 +1,52 @@
-//! Parts of the decisions that can be switched off one by one, to measure what each is worth.
+//! Mechanisms of the decisions that can be switched off one by one, to measure the value of each.
 
 use {std::str::FromStr, thiserror::Error};
 
-/// A part of the decisions.
+/// A mechanism of the decisions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// A prompt is refused where others lose more by it than its answer is worth.
+    /// Refuses a prompt that costs others more than its answer is worth.
     RefusalByWorth,
-    /// A second of an engine costs what later prompts would have used it for.
+    /// Charges a prompt for the engine time that later prompts would have used.
     PriceOfTime,
-    /// Engines help to read a prompt.
+    /// Lets other engines help to read a prompt.
     Helpers,
-    /// A long prompt's part at the engine that answers is read ahead of others.
+    /// Reads the part of a long prompt at the answering engine ahead of other prompts.
     FirstPlaces,
-    /// Streams with short pauses share engines.
+    /// Places streams with short pause limits on the same engines.
     Packing,
-    /// Streams with middling pauses are written where no long prompts are read.
+    /// Keeps streams with medium pause limits away from engines that read long prompts.
     Exposure,
-    /// A prompt's own first pause counts.
+    /// Counts the expected first pause of the prompt itself.
     OwnPause,
-    /// A longer first pause of prompts that have yet to begin counts.
+    /// Counts longer first pauses of prompts that haven't begun yet.
     FirstPauses,
-    /// What is likely to be in time counts as less than what is sure to be.
+    /// Discounts an answer that is likely but not certain to be on time.
     Risk,
-    /// What prompts that wait lose by being delayed counts.
+    /// Counts the delay of waiting prompts.
     Delays,
-    /// An instance that knows little of the others keeps to engines that it likes.
+    /// Lets an instance that knows little of its peers prefer the engines to which it has an affinity.
     Spreading,
-    /// Engines' reports tell how slow they are.
+    /// Uses the pace that engines report of themselves.
     ReportedPace,
-    /// A request that breaks its targets is kept from others.
+    /// Withholds a request on which several targets crashed from other targets.
     Poison,
-    /// Targets that failed to be reached or to help are passed over for a while.
+    /// Skips targets that were unreachable or failed to help, for a while.
     PassingOver,
-    /// Engines that failed prompts of late get fewer.
+    /// Sends fewer prompts to engines that failed prompts recently.
     Failures,
-    /// One instance grants requests to a target that names a limit for all; else each has an equal part.
+    /// Lets one instance grant the requests to a target with a limit; without it each instance has an equal
+    /// share.
     SharedQuotas,
 }
 
-/// A name that is none of a mechanism.
+/// Error for a name that is not the name of a mechanism.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("no mechanism is called `{0}`: use one of {names}", names = Mechanism::names())]
 pub struct UnknownMechanism(String);
 
 impl Mechanism {
-    /// All of them, in the order of their names on the pages.
+    /// All mechanisms, in the order in which the documentation lists them.
     pub const ALL: [Self; 16] = [
         Self::RefusalByWorth,
         Self::PriceOfTime,
@@ -65,7 +66,7 @@
         Self::SharedQuotas,
     ];
 
-    /// Its name on the command line.
+    /// Returns the mechanism's name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Self::RefusalByWorth => "refusal-by-worth",
@@ -97,20 +98,20 @@
     type Err = UnknownMechanism;
 
     fn from_str(name: &str) -> Result<Self, Self::Err> {
-        let found = Self::ALL
+        let mechanism = Self::ALL
             .into_iter()
             .find(|mechanism| mechanism.name() == name);
-        found.ok_or_else(|| UnknownMechanism(name.to_owned()))
+        mechanism.ok_or_else(|| UnknownMechanism(name.to_owned()))
     }
 }
 
-/// The mechanisms that are switched off.
+/// Set of the mechanisms that are switched off, as a bit mask.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Without(u32);
+pub struct DisabledMechanisms(u32);
 
-impl Without {
-    /// Whether a mechanism works.
-    pub fn has(self, mechanism: Mechanism) -> bool {
+impl DisabledMechanisms {
+    /// Returns whether a mechanism is not in the set.
+    pub fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.0 & Self::bit(mechanism) == 0
     }
 
@@ -119,7 +120,7 @@
     }
 }
 
-impl FromIterator<Mechanism> for Without {
+impl FromIterator<Mechanism> for DisabledMechanisms {
     fn from_iter<T: IntoIterator<Item = Mechanism>>(mechanisms: T) -> Self {
         let bits = mechanisms.into_iter().map(Self::bit);
         Self(bits.fold(0, |all, bit| all | bit))
--- a/crates/serving/src/names.rs
+++ b/crates/serving/src/names.rs
@@ -1,11 +1,11 @@
-//! Names that are published, each with a type of its own.
+//! Published names, each with a type of its own.
 
 use {
     serde::{Deserialize, Serialize},
     std::{borrow::Borrow, fmt, ops::Deref, sync::Arc},
 };
 
-/// A name that is cheap to copy.
+/// Defines a name type that is cheap to clone.
 macro_rules! name {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -47,22 +47,22 @@
 }
 
 name! {
-    /// Name of one run of a target; a restarted target has another.
+    /// Id of one run of a target. A restarted target that states its start time has a new one.
     TargetId
 }
 name! {
-    /// Name under which a target is published; a target that starts again may keep it.
+    /// Name under which a target is published. A restarted target may keep it.
     TargetName
 }
 name! {
-    /// Name of a service: a set of targets that serve the same.
+    /// Name of a service, a set of interchangeable targets.
     ServiceName
 }
 name! {
-    /// Name of a client account.
+    /// Name of a client account, as the configuration has it.
     AccountName
 }
 name! {
-    /// Name of a failure domain.
+    /// Name of a failure domain, as instances and targets state it.
     FailureDomain
 }
--- a/crates/serving/src/placement/choose.rs
+++ b/crates/serving/src/placement/choose.rs
@@ -62,8 +62,8 @@
         .copied()
         .filter(|degree| {
             let min_degree = shape.reserved.map_or(1, |reserved| reserved.engines + 1);
-            let is_worth_it =
-                whole_ms / *degree as f64 >= MIN_PART_MS && shape.without.has(Mechanism::Helpers);
+            let is_worth_it = whole_ms / *degree as f64 >= MIN_PART_MS
+                && shape.disabled.is_enabled(Mechanism::Helpers);
             *degree >= min_degree
                 && *degree <= candidates.len()
                 && (*degree == min_degree || is_worth_it)
--- a/crates/serving/src/placement/engine_share.rs
+++ b/crates/serving/src/placement/engine_share.rs
@@ -36,7 +36,7 @@
             tokens: shape.prompt_tokens as f64 / degree as f64,
             goes_first: degree > 1
                 && spec.read_ms(shape.prompt_tokens) >= MIN_PRIORITIZED_READ_MS
-                && shape.without.has(Mechanism::FirstPlaces),
+                && shape.disabled.is_enabled(Mechanism::FirstPlaces),
         }
     }
 }
--- a/crates/serving/src/placement/placement_context.rs
+++ b/crates/serving/src/placement/placement_context.rs
@@ -29,7 +29,7 @@
 
     /// Returns the share of its value by which an answer that is only likely to be on time is discounted.
     pub fn risk(self) -> f64 {
-        if self.shape.without.has(Mechanism::Risk) {
+        if self.shape.disabled.is_enabled(Mechanism::Risk) {
             RISK
         } else {
             0.0
@@ -56,7 +56,7 @@
     /// would be the best choice for each prompt in turn. As a loss compared with that of other engines it
     /// only moves prompts to better ones; none is refused where all engines fail some.
     pub fn failure_loss(self, load: &EngineLoad) -> f64 {
-        if !self.shape.without.has(Mechanism::Failures) {
+        if !self.shape.disabled.is_enabled(Mechanism::Failures) {
             return 0.0;
         }
         self.value() * load.failures.at(self.now)
--- a/crates/serving/src/placement/prompt_shape.rs
+++ b/crates/serving/src/placement/prompt_shape.rs
@@ -1,4 +1,4 @@
-use crate::{engines::EngineLoad, fleet::ReservedMemory, mechanism::Without};
+use crate::{engines::EngineLoad, fleet::ReservedMemory, mechanism::DisabledMechanisms};
 
 /// Size and time limits of a prompt, and the state in which its engines are chosen.
 #[derive(Debug, Clone, Copy)]
@@ -20,7 +20,7 @@
     /// Whether this instance knows little of what other instances place.
     pub is_blind: bool,
     /// Mechanisms that are switched off for this choice.
-    pub without: Without,
+    pub disabled: DisabledMechanisms,
 }
 
 /// An engine that may be chosen.
--- a/crates/serving/src/placement/prompt_split.rs
+++ b/crates/serving/src/placement/prompt_split.rs
@@ -159,7 +159,7 @@
     }
 
     fn cost_to_others(&self, shares: &[&EngineShare]) -> f64 {
-        if self.context.shape.without.has(Mechanism::Delays) {
+        if self.context.shape.disabled.is_enabled(Mechanism::Delays) {
             return combined_cost(shares);
         }
         shares.iter().map(|share| share.stream_loss).sum()
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -1,6 +1,5 @@
-//! All that an entry instance knows and decides by.
+//! State of an entry instance and the decisions that it takes from it.
 
-mod asks;
 mod calls;
 mod configured;
 mod members;
@@ -10,12 +9,15 @@
 mod prompts;
 mod quotas;
 mod relaying;
+mod requests;
 
 pub use {
-    asks::{CallPlacement, CallRequest, DecisionInputs, PromptPlacement, PromptRequest, Refusal},
     members::WantedLinks,
     news::Recipients,
     relaying::StoreRole,
+    requests::{
+        CallPlacement, CallRequest, DecisionInputs, PromptPlacement, PromptRequest, Refusal,
+    },
 };
 
 use {
@@ -23,7 +25,7 @@
         catalog::Configuration,
         engines::EngineLoads,
         fleet::{EngineGroup, EngineGroups, JobId, Member, Membership, PublishedText, hash},
-        mechanism::Without,
+        mechanism::DisabledMechanisms,
         quotas::QuotaTable,
         relays::{FollowedRelays, Followers},
         retries::{CrashTracker, FleetBudget, FleetBudgetRule},
@@ -39,11 +41,12 @@
     whinlatch_core::MonoMs,
 };
 
-/// Time until an instance that is to be told of all prompts has been told, in ms: a link opens within
-/// some hundred, and the prompts at work are told with the next look after that.
+/// Time after an instance took on a role until it knows all prompts that the role requires, in ms. Links open
+/// within some hundred ms, and prompts in flight are sent with the next tick after that.
 const TASK_SETTLING_MS: u64 = 1_000;
 
-/// All that an entry instance knows and decides by.
+/// State of an entry instance: its configuration, the targets, peers and relays that it knows, and the
+/// prompts and calls in flight.
 #[derive(Debug)]
 pub struct Serving {
     own: Member,
@@ -59,35 +62,34 @@
     budget: FleetBudget,
     crashes: CrashTracker,
     groups: EngineGroups,
-    /// The groups of engines in which peers were asked to choose for a prompt of this instance.
-    asked_groups: HashMap<JobId, Vec<EngineGroup>>,
+    /// Groups in which peers were asked to choose engines for a prompt of this instance.
+    requested_groups: HashMap<JobId, Vec<EngineGroup>>,
     news: News,
     next_job: u64,
-    /// What the last heartbeat said of this instance.
-    told: Option<Member>,
-    /// Whether a hub has heard something new of somebody.
+    /// Own state as of the last heartbeat; `None` before the first.
+    last_stated: Option<Member>,
+    /// Whether this instance, as a hub, has learned something of a member that its last roster lacks.
     is_roster_due: bool,
-    /// When this instance has been told of all prompts that it is to know, after its start or its last
-    /// new task.
+    /// When this instance knows all prompts that it should know, after its start or its last new role.
     settled_at: MonoMs,
-    /// What peers have known for a while and this instance doesn't.
-    behind: Option<PeerLag>,
-    /// The relays that this instance goes by, and what it knows through them.
+    /// What a peer has known for a while and this instance still lacks.
+    lag: Option<PeerLag>,
+    /// The relays that this instance follows, and what it knows of the store through them.
     following: FollowedRelays,
-    /// Those that go by this instance.
+    /// The instances that follow this one.
     followers: Followers,
-    /// When the store last told this instance what was published.
+    /// When this instance last completed a read of the store.
     read_at: Option<MonoMs>,
-    /// Since when the store doesn't answer this instance.
+    /// Time of the first call to the store that went unanswered since its last answer.
     cut_off_since: Option<MonoMs>,
-    without: Without,
-    /// When a peer last told of a prompt.
-    heard_at: Option<MonoMs>,
+    disabled: DisabledMechanisms,
+    /// When a peer last reported a placed prompt.
+    last_peer_prompt_at: Option<MonoMs>,
     rng: fastrand::Rng,
 }
 
 impl Serving {
-    /// State of an instance that has just started.
+    /// Returns the state of an instance that has just started. `rule` limits the retries of the whole fleet.
     pub fn new(own: Member, rule: FleetBudgetRule) -> Self {
         Self {
             rng: fastrand::Rng::with_seed(own.run),
@@ -104,49 +106,55 @@
             budget: FleetBudget::new(rule),
             crashes: CrashTracker::default(),
             groups: EngineGroups::default(),
-            asked_groups: HashMap::new(),
+            requested_groups: HashMap::new(),
             news: News::default(),
             next_job: 0,
-            told: None,
+            last_stated: None,
             is_roster_due: false,
             settled_at: MonoMs(0),
-            behind: None,
+            lag: None,
             following: FollowedRelays::default(),
             followers: Followers::default(),
             read_at: None,
             cut_off_since: None,
-            without: Without::default(),
-            heard_at: None,
+            disabled: DisabledMechanisms::default(),
+            last_peer_prompt_at: None,
         }
     }
 
-    /// Switches parts of the decisions off.
-    pub fn disable_mechanisms(&mut self, without: Without) {
-        self.without = without;
+    /// Replaces the set of mechanisms that are switched off, none by default.
+    pub fn disable_mechanisms(&mut self, mechanisms: DisabledMechanisms) {
+        self.disabled = mechanisms;
     }
 
-    /// Whether requests can be served: there is a configuration, targets are known, and the
+    /// Returns whether requests can be served: there is a configuration, targets are known, and the
     /// instance wasn't told to stop.
     pub fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.targets.is_known() && !self.own.leaving
     }
 
-    /// Whether the instance was told to stop.
+    /// Returns whether the instance was told to stop.
     pub fn is_leaving(&self) -> bool {
         self.own.leaving
     }
 
-    /// Notes that the instance was told to stop.
+    /// Marks the instance as stopping. This can't be undone within a run.
     pub fn leave(&mut self) {
         self.own.leaving = true;
     }
 
-    /// Addresses that a caller may use: the instances that are taken for alive and ready.
+    /// Returns the addresses that a caller may use: those of at most `max_addresses` live and ready
+    /// instances.
     ///
-    /// Callers take note of `most` addresses and close connections to those that a later answer
-    /// lacks. So where there are more, each caller is always told the same ones, whichever instance
-    /// it asks, and all callers together all of them.
-    pub fn caller_addresses(&self, now: MonoMs, caller: IpAddr, most: usize) -> Vec<SocketAddr> {
+    /// Callers store that many addresses and close connections to addresses that a later answer lacks.
+    /// Where there are more, a caller therefore gets the same ones from every instance that it asks, and
+    /// different callers get different ones, so that together they use all instances.
+    pub fn caller_addresses(
+        &self,
+        now: MonoMs,
+        caller: IpAddr,
+        max_addresses: usize,
+    ) -> Vec<SocketAddr> {
         let own = self.is_ready().then_some(self.own.caller_address);
         let peers = self
             .members
@@ -154,16 +162,17 @@
             .filter(|member| member.ready && !member.leaving)
             .map(|member| member.caller_address);
         let mut addresses: Vec<SocketAddr> = own.into_iter().chain(peers).collect();
-        if addresses.len() > most {
+        if addresses.len() > max_addresses {
             let salt = hash(0, SocketAddr::new(caller, 0));
             addresses.sort_by_cached_key(|address| hash(salt, *address));
-            addresses.truncate(most);
+            addresses.truncate(max_addresses);
         }
         addresses.sort_unstable();
         addresses
     }
 
-    /// Settles what time alone decides.
+    /// Applies what follows from the passage of time alone: silent peers, expired records, ranks, groups
+    /// and relays.
     pub fn tick(&mut self, now: MonoMs) {
         self.targets.confirm_removals(now);
         self.detect_lag(now);
@@ -184,6 +193,7 @@
         self.quotas.evict_expired(now);
     }
 
+    /// Ranks the live members again. A new role of this instance restarts its settling time.
     fn update_ranks(&mut self, now: MonoMs) {
         let own = self.own_member(now);
         if self.members.rank(now, &own) || self.settled_at == MonoMs(0) {
@@ -191,13 +201,17 @@
         }
     }
 
-    /// Guards against two views of the number of groups, which last, since it changes back only far below
-    /// where it changed: while targets were replaced some instances had heard of so many engines at once, and
-    /// others not. Each engine then got prompts of two deciders that knew nothing of each other's, and of
-    /// 3,936 short prompts in eleven seconds 478 began late.
+    /// Adopts the number of engine groups of the first responsive hub, or derives it from the ready engines
+    /// if that is this instance.
+    ///
+    /// Guards against a lasting disagreement on the number of groups. Since the number falls again only far
+    /// below where it rose, instances of which some had seen many engines at the same time while targets
+    /// were replaced, and others not, would keep different numbers. Each engine then got prompts from two
+    /// deciders that knew nothing of each other's, and of 3,936 short prompts in eleven seconds 478 began
+    /// late.
     fn resize_groups(&mut self, now: MonoMs) {
-        if let Some(told) = self.members.hub_group_count(now, self.own.peer_address) {
-            self.groups.adopt(told);
+        if let Some(count) = self.members.hub_group_count(now, self.own.peer_address) {
+            self.groups.adopt(count);
             return;
         }
         let is_engine = |service: &str| self.spec_of_service(service).is_some();
@@ -206,7 +220,8 @@
         self.groups.resize(engines);
     }
 
-    /// The process was paused: what it heard before says nothing of now.
+    /// Restarts the silence timers of all peers after the host paused the process: during a pause no frames
+    /// arrive, so the silence doesn't show that a peer is gone.
     pub fn on_process_resumed(&mut self, now: MonoMs) {
         self.members.reset_silence(now);
     }
--- a/crates/serving/src/serving/calls.rs
+++ b/crates/serving/src/serving/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, and the budget for repeats.
+//! Calls of plain services, admission of requests of all kinds, and the record of crashes.
 
 use {
     super::{CallPlacement, CallRequest, Refusal, Serving},
@@ -14,32 +14,35 @@
 };
 
 impl Serving {
-    /// Notes a request that arrived for a service, before any target is chosen.
+    /// Records that a request for a service has arrived, which adds to the service's retry budget. Called
+    /// once per request, before any target is chosen.
     pub fn record_arrival(&mut self, now: MonoMs, service: &ServiceName) {
         self.budget.record_request(now, service);
     }
 
-    /// Chooses a target for a call and counts it as sent there.
+    /// Chooses a target for a call and records the call as sent to it.
     ///
     /// # Errors
     /// A [`Refusal`]; the call has not been sent.
     pub fn place_call(
         &mut self,
         now: MonoMs,
-        ask: &CallRequest<'_>,
+        request: &CallRequest<'_>,
     ) -> Result<CallPlacement, Refusal> {
-        self.admit_request(now, ask.service, ask.fingerprint, ask.is_repeat)?;
+        self.admit_request(now, request.service, request.fingerprint, request.is_repeat)?;
         let mut rng = self.rng.fork();
-        let candidates = self.targets.ready(ask.service);
+        let candidates = self.targets.ready(request.service);
         let open = candidates.filter(|entry| self.closed_until(now, &entry.id).is_none());
-        let target = self.calls.choose(now, open, ask.tried, &mut rng);
+        let target = self.calls.choose(now, open, request.tried, &mut rng);
         let target = target
             .cloned()
-            .ok_or_else(|| self.refusal_for_closed_targets(now, ask.service))?;
+            .ok_or_else(|| self.refusal_for_closed_targets(now, request.service))?;
         self.calls.record_sent(&target.id);
         Ok(CallPlacement { target })
     }
 
+    /// Refuses a request that is poison, and a repeat for which the retry budget has nothing left.
+    /// Otherwise takes a repeat out of the budget.
     pub(super) fn admit_request(
         &mut self,
         now: MonoMs,
@@ -47,8 +50,8 @@
         fingerprint: Fingerprint,
         is_repeat: bool,
     ) -> Result<(), Refusal> {
-        let keeps_poison = self.without.has(Mechanism::Poison);
-        if keeps_poison && self.crashes.is_poison(now, fingerprint) {
+        let refuses_poison = self.disabled.is_enabled(Mechanism::Poison);
+        if refuses_poison && self.crashes.is_poison(now, fingerprint) {
             return Err(Refusal::Poison);
         }
         let instances = self.members.peak_size();
@@ -58,12 +61,12 @@
         Ok(())
     }
 
-    /// Notes that a call that was counted as sent isn't sent after all.
+    /// Reverts the record of a call that wasn't sent after all.
     pub fn record_call_withdrawn(&mut self, target: &TargetId) {
         self.calls.record_withdrawn(target);
     }
 
-    /// Notes the end of a call.
+    /// Records the end of a call and the time that it took at its target, in ms.
     pub fn record_call_ended(
         &mut self,
         now: MonoMs,
@@ -74,31 +77,32 @@
         self.calls.record_ended(now, target, took_ms, failed);
     }
 
-    /// Whether a target could not be reached a moment ago, here or by a peer.
+    /// Returns whether a connection to a target failed recently, here or at a peer.
     pub fn is_unreachable(&self, now: MonoMs, target: &str) -> bool {
         self.calls.is_unreachable(now, target)
     }
 
-    /// Notes that no connection to a target could be had.
+    /// Records that a connection to a target failed, and queues a notice for all peers.
     pub fn record_unreachable(&mut self, now: MonoMs, target: &TargetId) {
         self.calls.record_unreachable(now, target);
         self.news.for_all().unreachable.push(target.clone());
     }
 
-    /// Notes that another target answered where a run was published.
+    /// Records that another target answered at the published address of a run, and queues a notice for all
+    /// peers.
     pub fn record_takeover(&mut self, run: &TargetId) {
-        let Some(displaced) = self.targets.takeover_of(run) else {
+        let Some(takeover) = self.targets.takeover_of(run) else {
             return;
         };
-        if self.targets.apply_takeover(&displaced) {
-            self.news.for_all().displaced.push(displaced);
+        if self.targets.apply_takeover(&takeover) {
+            self.news.for_all().displaced.push(takeover);
         }
     }
 
-    /// Notes that the engine at an address didn't help to read a prompt.
+    /// Records that the engine at an address failed to help with reading a prompt.
     ///
-    /// Guards against an engine that has died or is full of others' parts: each further attempt at
-    /// the same prompt would name it again and be turned away like the one before.
+    /// Guards against a helper that has died or is full with parts of other prompts: every further attempt
+    /// at the same prompt would choose it again and fail in the same way.
     pub fn record_helper_failure(&mut self, now: MonoMs, address: SocketAddr) {
         let helper = self.targets.ready_at(address).map(|entry| entry.id.clone());
         if let Some(helper) = helper {
@@ -106,21 +110,23 @@
         }
     }
 
-    /// Whether a target has started again since an entry of it was read: what it held then is gone.
+    /// Returns whether a target has restarted since an entry of it was read. Memory that was reserved at
+    /// the run of that entry is lost then.
     pub fn has_restarted(&self, entry: &TargetEntry) -> bool {
         self.targets
             .published_entry(entry.name())
             .is_some_and(|published| entry.started_before(published))
     }
 
-    /// Notes that a target served a request.
+    /// Records that a target served a request. If a target had crashed on it before, the request is no longer
+    /// suspected, and a notice is queued for all peers.
     pub fn record_served(&mut self, fingerprint: Fingerprint) {
         if self.crashes.record_served(fingerprint) {
             self.news.for_all().served.push(fingerprint);
         }
     }
 
-    /// Notes that a target broke off the work on a request.
+    /// Records that a target failed while it ran a request, and queues a notice for all peers.
     pub fn record_crash(&mut self, now: MonoMs, fingerprint: Fingerprint, target: &TargetId) {
         let crash = Crash {
             fingerprint,
--- a/crates/serving/src/serving/configured.rs
+++ b/crates/serving/src/serving/configured.rs
@@ -1,4 +1,4 @@
-//! What the store publishes, read here or told by peers.
+//! Published configuration and targets, as read from the store or received from peers.
 
 use {
     super::Serving,
@@ -8,20 +8,22 @@
 };
 
 impl Serving {
-    /// The configuration in force.
+    /// Returns the active configuration; `None` until the first one is known.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// Version of the configuration in force, 0 if there is none.
+    /// Returns the version of the active configuration, 0 if there is none.
     pub fn version(&self) -> u64 {
         self.configuration
             .as_ref()
             .map_or(0, |configuration| configuration.version)
     }
 
-    /// Puts a version in force unless a newer one is. Versions only go up within a run, whatever
-    /// order the store and the peers tell them in: callers would see a change undone otherwise.
+    /// Activates a configuration unless the active one is at least as new, and returns whether it did.
+    ///
+    /// Versions only rise within a run, in whatever order the store and the peers deliver them. Otherwise
+    /// callers would see a change being undone.
     pub fn activate_configuration(&mut self, configuration: Configuration, text: String) -> bool {
         if configuration.version <= self.version() {
             return false;
@@ -35,35 +37,35 @@
         true
     }
 
-    /// The store didn't answer.
+    /// Records that the store didn't answer.
     pub fn store_failed(&mut self, now: MonoMs) {
         self.targets.store_failed();
         self.cut_off_since.get_or_insert(now);
     }
 
-    /// The store answers.
+    /// Records that the store answered, so that this instance may act as a relay again.
     pub fn store_answers(&mut self, now: MonoMs) {
         self.targets.store_answers(now);
         self.cut_off_since = None;
         self.following.readmit(self.own.peer_address);
     }
 
-    /// Whether the store didn't answer when it was last asked.
+    /// Returns whether the last call to the store got no answer.
     pub fn is_store_lost(&self) -> bool {
         self.targets.is_store_lost()
     }
 
-    /// Names of the targets that take requests, in order.
+    /// Returns the names of the targets that take requests, sorted.
     pub fn ready_targets(&self) -> Vec<String> {
         self.targets.ready_names()
     }
 
-    /// Takes in a change of a target that the store published. Returns whether it takes effect.
+    /// Applies a change of a target that was read from the store. Returns whether it takes effect.
     pub fn apply_store_change(&mut self, now: MonoMs, change: TargetChange) -> bool {
         self.targets.apply_store_change(now, change).is_some()
     }
 
-    /// Takes in all targets that the store held at a revision.
+    /// Applies the complete list of targets that the store had at a revision.
     pub fn apply_store_snapshot(&mut self, now: MonoMs, revision: u64, all: Vec<TargetChange>) {
         self.targets.apply_store_snapshot(now, revision, all);
     }
--- a/crates/serving/src/serving/members.rs
+++ b/crates/serving/src/serving/members.rs
@@ -1,4 +1,4 @@
-//! Which other instances there are, and which links are kept to them.
+//! The other instances, the links to them and the heartbeats.
 
 use {
     super::Serving,
@@ -11,40 +11,40 @@
 };
 
 /// Time between heartbeats in a small fleet, in ms.
-const BEAT_MS: u64 = 250;
-/// Time between heartbeats in a large fleet, in ms: three of them that fail to come are noticed within
-/// two seconds, and a hub has half as many to send and hear as at a small fleet's rate.
-const LARGE_FLEET_BEAT_MS: u64 = 500;
-/// Addresses that a heartbeat tells. A link begins with all of them, so that these only mend what a
-/// lost link kept from somebody.
-const BEAT_ADDRESSES: usize = 4;
-
-/// The links that an instance is to have.
+const HEARTBEAT_INTERVAL_MS: u64 = 250;
+/// Time between heartbeats in a large fleet, in ms. Three missing heartbeats are noticed within two
+/// seconds, and a hub sends and receives half as many as at the rate of a small fleet.
+const LARGE_FLEET_HEARTBEAT_INTERVAL_MS: u64 = 500;
+/// Maximum number of peer addresses in a heartbeat. The greeting of each link has them without this limit, so
+/// heartbeats only fill gaps that lost links left.
+const MAX_HEARTBEAT_ADDRESSES: usize = 4;
+
+/// The peers to which an instance should have a link, by who needs it.
 #[derive(Debug, Default)]
 pub struct WantedLinks {
-    /// Those that it wants for a reason of its own; the peer is asked to link back.
+    /// Links that this instance needs itself; it requests a link back from the peer.
     pub own: HashSet<SocketAddr>,
-    /// Those that only the peer has asked for.
-    pub asked: HashSet<SocketAddr>,
+    /// Links that only the peer has requested.
+    pub requested: HashSet<SocketAddr>,
 }
 
 impl Serving {
-    /// Address at which peers link to this instance.
+    /// Returns the address at which peers link to this instance.
     pub fn peer_address(&self) -> SocketAddr {
         self.own.peer_address
     }
 
-    /// Number of peers that are taken for alive.
+    /// Returns the number of peers that are considered alive.
     pub fn live_peer_count(&self, now: MonoMs) -> usize {
         self.members.live_members(now).count()
     }
 
-    /// Takes in addresses at which peers may be found, as the settings have them.
+    /// Adds the addresses of the settings at which peers may be found.
     pub fn add_seeds(&mut self, addresses: &[SocketAddr]) {
         self.members.add_seeds(self.own.peer_address, addresses);
     }
 
-    /// What this instance says of itself.
+    /// Returns the state of this instance as it reports it to peers.
     pub fn own_member(&self, now: MonoMs) -> Member {
         Member {
             ready: self.is_ready(),
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The links to keep.
+    /// Returns the links to open or keep: to peers that this instance needs or follows, and to those that
+    /// requested one.
     pub fn wanted_links(&self, now: MonoMs) -> WantedLinks {
         let own_address = self.own.peer_address;
         let mut own = self
@@ -68,21 +69,22 @@
                 .map(|(relay, _)| relay),
         );
         let asking = self.members.link_requesters(now);
-        let asked = asking.filter(|address| !own.contains(address)).collect();
-        WantedLinks { own, asked }
+        let requested = asking.filter(|address| !own.contains(address)).collect();
+        WantedLinks { own, requested }
     }
 
-    /// Whether this instance tells all others who is alive.
+    /// Returns whether this instance is a hub, which sends a roster of the live members to all others.
     pub fn is_hub(&self) -> bool {
         let hubs = self.members.ranks().hubs();
         hubs.contains(&self.own.peer_address)
     }
 
-    /// The engines whose reports this instance is to read for all: those of the groups for which it
-    /// is the first that chooses.
+    /// Returns the engines whose reports this instance should read for the fleet: those of the groups of
+    /// which it is the first decider.
     ///
-    /// A report counts towards the limit of an engine in need, which is better left to callers. It is read only if
-    /// nothing else has told for a while whether the limit still holds.
+    /// A report counts towards the limit of an engine that is short of capacity, which is better left to
+    /// callers. An engine with a limit is therefore left out while answers have recently confirmed the
+    /// limit.
     pub fn reported_engines(&self, now: MonoMs) -> Vec<TargetEntry> {
         let groups: Vec<_> = (0..self.groups.count())
             .map(|number| self.groups.group(number))
@@ -100,16 +102,17 @@
             .collect()
     }
 
-    /// What a link to a peer begins with: this instance, where peers link, and whom it hears.
-    pub fn greeting(&self, now: MonoMs, to: SocketAddr, asks_for_link: bool) -> Frame {
+    /// Returns the first frame of a link to a peer: the state of this instance, the addresses of peers, the
+    /// targets that leave or have a limit, and the roster of a hub.
+    pub fn greeting(&self, now: MonoMs, to: SocketAddr, requests_link: bool) -> Frame {
         let mut follows = self.follow_requests(now).into_iter();
-        let beat = HeartbeatFrame {
+        let heartbeat = HeartbeatFrame {
             follow_request: follows.find_map(|(relay, follow)| (relay == to).then_some(follow)),
-            ..self.heartbeat_part(asks_for_link)
+            ..self.heartbeat_fields(requests_link)
         };
         Frame {
             member: Some(self.own_member(now)),
-            heartbeat: Some(beat),
+            heartbeat: Some(heartbeat),
             peers: self.members.addresses_to_report(now),
             leaving: self.targets.leaving(),
             limits: self.notices.limits(),
@@ -118,59 +121,59 @@
         }
     }
 
-    /// Whether a heartbeat is due ahead of time, since this instance began or ceased to serve: until
-    /// its peers know, callers aren't sent to it, or still are.
+    /// Returns whether a heartbeat should be sent ahead of time, because this instance started or stopped
+    /// to serve. Until peers know, they don't give its address to callers, or still do.
     pub fn is_heartbeat_due(&self) -> bool {
-        self.told
+        self.last_stated
             .as_ref()
-            .is_some_and(|told| told.ready != self.is_ready())
+            .is_some_and(|stated| stated.ready != self.is_ready())
     }
 
-    /// Whether a hub has something to tell ahead of time.
+    /// Returns whether a hub should send a roster ahead of time.
     pub fn is_roster_due(&self) -> bool {
         self.is_roster_due
     }
 
-    /// A heartbeat: what this instance knows, what has changed of it, and where a few of its peers
-    /// link, others each time.
+    /// Returns a heartbeat: the versions that this instance knows, its own state if it changed, and the
+    /// addresses of a few random peers.
     pub fn heartbeat(&mut self, now: MonoMs) -> Frame {
         let own = self.own_member(now);
-        let is_news = !self
-            .told
+        let has_changed = !self
+            .last_stated
             .as_ref()
-            .is_some_and(|told| told.is_same_state(&own));
-        self.told = Some(own.clone());
+            .is_some_and(|stated| stated.is_same_state(&own));
+        self.last_stated = Some(own.clone());
         let mut peers = self.members.addresses_to_report(now);
         self.rng.shuffle(&mut peers);
-        peers.truncate(BEAT_ADDRESSES);
+        peers.truncate(MAX_HEARTBEAT_ADDRESSES);
         Frame {
-            member: is_news.then_some(own),
-            heartbeat: Some(self.heartbeat_part(false)),
+            member: has_changed.then_some(own),
+            heartbeat: Some(self.heartbeat_fields(false)),
             peers,
             ..Frame::default()
         }
     }
 
-    /// Time between two heartbeats, in ms.
+    /// Returns the time between two heartbeats, in ms.
     pub fn heartbeat_interval_ms(&self) -> u64 {
         if self.members.is_large() {
-            LARGE_FLEET_BEAT_MS
+            LARGE_FLEET_HEARTBEAT_INTERVAL_MS
         } else {
-            BEAT_MS
+            HEARTBEAT_INTERVAL_MS
         }
     }
 
-    fn heartbeat_part(&self, asks_for_link: bool) -> HeartbeatFrame {
+    fn heartbeat_fields(&self, requests_link: bool) -> HeartbeatFrame {
         HeartbeatFrame {
             version: self.version(),
             revision: self.targets.revision(),
-            requests_link: asks_for_link,
+            requests_link,
             engine_groups: self.groups.count(),
             follow_request: None,
         }
     }
 
-    /// What a hub has to tell all of who is alive.
+    /// Returns a hub's roster changes since the last call, for all peers; `None` if there are none.
     pub fn roster_news(&mut self, now: MonoMs) -> Option<Frame> {
         self.is_roster_due = false;
         let own = self.own.peer_address;
@@ -181,7 +184,7 @@
         })
     }
 
-    /// A link to a peer broke.
+    /// Records that the link to a peer broke, which makes the peer suspect.
     pub fn on_link_lost(&mut self, now: MonoMs, address: SocketAddr) {
         self.members.suspect(now, address);
     }
--- a/crates/serving/src/serving/news.rs
+++ b/crates/serving/src/serving/news.rs
@@ -1,4 +1,4 @@
-//! What is told to whom: prompts to those that choose engines in their group, the rest to all.
+//! Outgoing news: prompts for the deciders of their group of engines, everything else for all peers.
 
 use {
     super::Serving,
@@ -13,20 +13,20 @@
     whinlatch_core::MonoMs,
 };
 
-/// Groups of engines among which an instance's prompts are divided. With several, a group that is
-/// full has another one beside it; each costs links to those that choose in it.
+/// Number of groups of engines among which an instance's prompts are divided. With several, another group is
+/// available when one is full; each costs links to its deciders.
 const OWN_GROUPS: u32 = 4;
 
-/// Who gets a frame.
+/// Receivers of a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Recipients {
     /// All peers to which there is a link.
     All,
-    /// These.
-    Some(Vec<SocketAddr>),
+    /// The peers with these addresses.
+    Peers(Vec<SocketAddr>),
 }
 
-/// News that is to be told, by the group of engines that it is about.
+/// Frames that are filled until the next call of [`Serving::take_news`].
 #[derive(Debug, Default)]
 pub struct News {
     by_group: BTreeMap<u32, Frame>,
@@ -34,30 +34,31 @@
 }
 
 impl News {
-    /// News of a group of engines.
-    pub fn of(&mut self, group: EngineGroup) -> &mut Frame {
+    /// Returns the frame for the deciders of a group of engines.
+    pub fn for_group(&mut self, group: EngineGroup) -> &mut Frame {
         self.by_group.entry(group.number).or_default()
     }
 
-    /// News for everybody.
+    /// Returns the frame for all peers.
     pub fn for_all(&mut self) -> &mut Frame {
         &mut self.for_all
     }
 }
 
 impl Serving {
-    /// The groups among whose engines this instance's prompts are divided, in an order of its own.
+    /// Returns the groups of engines among which this instance's prompts are divided. Which ones, and their
+    /// order, depends on its address, so that instances spread over all groups.
     pub fn own_groups(&self) -> Vec<EngineGroup> {
         let count = self.groups.count();
         let used = count.min(OWN_GROUPS);
         let first = crate::fleet::hash(0, self.own.peer_address) as u32 % count;
         (0..used)
-            .map(|place| self.groups.group(first + place * (count / used)))
+            .map(|index| self.groups.group(first + index * (count / used)))
             .collect()
     }
 
-    /// Addresses of the peers that choose engines of a group for this instance's prompts, the first
-    /// one first; none if it chooses itself.
+    /// Returns the addresses of the peers that choose engines of a group for this instance's prompts, in
+    /// the order in which to ask them. Empty if this instance chooses them itself.
     pub fn deciders(&self, group: EngineGroup) -> Vec<SocketAddr> {
         let ranks = self.members.ranks();
         let deciders = ranks.deciders(group);
@@ -67,7 +68,7 @@
         deciders
     }
 
-    /// The peers that are told of this instance's prompts, and for which groups of engines.
+    /// Returns the peers to which this instance reports its prompts, and the groups of engines of each.
     pub fn informed_deciders(&self) -> BTreeMap<SocketAddr, Vec<EngineGroup>> {
         let mut informed: BTreeMap<SocketAddr, Vec<EngineGroup>> = BTreeMap::new();
         for group in self.own_groups() {
@@ -80,14 +81,14 @@
         informed
     }
 
-    /// All prompts that this instance has at work on some groups of engines, for a peer that is to
-    /// know of them from now on.
+    /// Returns a frame with all prompts that this instance has in flight in some groups of engines, for a
+    /// peer that is told of them from now on.
     pub fn job_snapshot(&self, now: MonoMs, groups: &[EngineGroup]) -> Frame {
-        let is_theirs = |engine: &TargetId| groups.iter().any(|group| group.contains(engine));
+        let is_in_groups = |engine: &TargetId| groups.iter().any(|group| group.contains(engine));
         let jobs = || {
             self.engines
                 .jobs_of_run(self.own.run)
-                .filter(|job| job.placed.engines.first().is_some_and(is_theirs))
+                .filter(|job| job.placed.engines.first().is_some_and(is_in_groups))
         };
         Frame {
             member: Some(self.own_member(now)),
@@ -101,30 +102,35 @@
         }
     }
 
-    /// What happened since the last call, and who is to be told of it.
+    /// Returns the news since the last call, and the receivers of each frame.
     pub fn take_news(&mut self) -> Vec<(Recipients, Frame)> {
         let news = std::mem::take(&mut self.news);
-        let mut told = Vec::new();
+        let mut frames = Vec::new();
         if !news.for_all.is_empty() {
-            told.push((Recipients::All, news.for_all));
+            frames.push((Recipients::All, news.for_all));
         }
         for (number, frame) in news.by_group {
             let group = self.groups.group(number);
-            let mut to = self.members.ranks().deciders(group);
-            to.retain(|address| *address != self.own.peer_address);
-            told.push((Recipients::Some(to), frame));
+            let mut deciders = self.members.ranks().deciders(group);
+            deciders.retain(|address| *address != self.own.peer_address);
+            frames.push((Recipients::Peers(deciders), frame));
         }
-        told
+        frames
     }
 
-    /// The groups whose deciders were told of a prompt, or asked to choose for it.
+    /// Returns the groups whose deciders were told of a prompt or asked to choose engines for it.
     pub(super) fn groups_of(&self, job: JobId) -> Vec<EngineGroup> {
-        let asked = self.asked_groups.get(&job).into_iter().flatten().copied();
+        let requested = self
+            .requested_groups
+            .get(&job)
+            .into_iter()
+            .flatten()
+            .copied();
         let placed = self.engines.job(job).and_then(|job| {
             let engine = job.placed.engines.first()?;
             Some(self.groups.group_of(engine))
         });
-        let groups: HashSet<EngineGroup> = asked.chain(placed).collect();
+        let groups: HashSet<EngineGroup> = requested.chain(placed).collect();
         groups.into_iter().collect()
     }
 }
--- a/crates/serving/src/serving/notices.rs
+++ b/crates/serving/src/serving/notices.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in their answers.
+//! Notices of targets: limits, pauses and departures that they announce in their answers.
 
 use {
     super::Serving,
@@ -7,13 +7,14 @@
 };
 
 impl Serving {
-    /// Until when a target wants nothing from this instance, if that isn't over.
+    /// Returns the end of a target's pause, during which this instance sends it nothing; `None` if there is
+    /// none now.
     pub fn paused_until(&self, now: MonoMs, target: &str) -> Option<MonoMs> {
         self.notices.paused_until(now, target)
     }
 
-    /// Takes in what a target says of itself in its answer to a request of `sent_at`. Returns whether
-    /// that is news.
+    /// Applies the notice in a target's answer to a request that was sent at `sent_at`, and queues its
+    /// limit and departure for all peers. Returns whether it said anything new.
     pub fn apply_target_notice(
         &mut self,
         now: MonoMs,
@@ -21,15 +22,17 @@
         target: &TargetId,
         notice: &TargetNotice,
     ) -> bool {
-        let limit = self.notices.apply_answer(now, sent_at, target, notice);
-        let leaves = notice.is_leaving && self.targets.record_leaving(now, target);
+        let changed_limit = self.notices.apply_answer(now, sent_at, target, notice);
+        let is_newly_leaving = notice.is_leaving && self.targets.record_leaving(now, target);
         if let Some(for_ms) = notice.retry_after_ms {
             self.notices.pause(now, target, for_ms);
         }
-        let is_news = limit.is_some() || leaves || notice.retry_after_ms.is_some();
+        let is_news =
+            changed_limit.is_some() || is_newly_leaving || notice.retry_after_ms.is_some();
         let news = self.news.for_all();
-        news.limits.extend(limit);
-        news.leaving.extend(leaves.then(|| target.clone()));
+        news.limits.extend(changed_limit);
+        news.leaving
+            .extend(is_newly_leaving.then(|| target.clone()));
         is_news
     }
 }
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other.
+//! Frames from peers, and the state in which this instance lags behind them.
 
 use {
     super::Serving,
@@ -18,39 +18,41 @@
     whinlatch_core::MonoMs,
 };
 
-/// Time after which an instance that lacks what a peer knows takes its own way to the store to be
-/// out of order, in ms: the store tells all of a change within some ten, and instances let changes
-/// gather for a quarter of a second.
-const BEHIND_MS: u64 = 600;
-/// Peers that are asked at once for what is lacking.
-const ASKED_PEERS: usize = 2;
+/// Time for which an instance may lack what a peer knows before its own access to the store is considered
+/// broken, in ms. The store delivers a change to all instances within some ten ms, and instances collect
+/// changes for a quarter of a second.
+const LAG_TIMEOUT_MS: u64 = 600;
+/// Maximum number of peers that are asked at the same time for what this instance lacks.
+const MAX_CATCH_UP_PEERS: usize = 2;
 
-/// What a peer knew first.
+/// State that a peer had before this instance, and when this was first noticed.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerLag {
-    extent: KnownState,
+    peer_state: KnownState,
     since: MonoMs,
 }
 
-/// What all instances are to know at once.
-struct Warnings {
+/// Notices that a hub passes on to all instances.
+struct FleetNotices {
     crashes: Vec<Crash>,
     served: Vec<Fingerprint>,
     unreachable: Vec<TargetId>,
     leaving: Vec<TargetId>,
     limits: Vec<TargetLimit>,
-    displaced: Vec<AddressTakeover>,
+    takeovers: Vec<AddressTakeover>,
 }
 
-fn keep<T>(mut told: Vec<T>, is_news: impl FnMut(&T) -> bool) -> Vec<T> {
-    told.retain(is_news);
-    told
+/// Returns the items for which `apply` returns true, which are news.
+fn retain_new<T>(mut items: Vec<T>, apply: impl FnMut(&T) -> bool) -> Vec<T> {
+    items.retain(apply);
+    items
 }
 
 impl Serving {
-    /// Takes in the pace that an engine reports of itself.
+    /// Applies the pace that an engine reports of itself, and queues it for the deciders of its group if it
+    /// has changed.
     pub fn apply_reported_pace(&mut self, now: MonoMs, engine: &TargetEntry, pace: f64) {
-        if !self.without.has(Mechanism::ReportedPace) {
+        if !self.disabled.is_enabled(Mechanism::ReportedPace) {
             return;
         }
         let Some(spec) = self.spec_of_service(&engine.service) else {
@@ -59,30 +61,35 @@
         if self.engines.apply_pace(now, &spec, &engine.id, pace) {
             let id = engine.id.clone();
             let group = self.groups.group_of(&id);
-            self.news.of(group).paces.push(EnginePace { id, pace });
+            self.news
+                .for_group(group)
+                .paces
+                .push(EnginePace { id, pace });
         }
     }
 
-    /// Notes since when a peer knows something published that this instance doesn't.
+    /// Tracks since when this instance lacks published state that a peer has.
     ///
-    /// Guards against changes that come one after the other: some peer has always just heard of one more, so
-    /// that only what this instance still lacks of what was known then counts.
+    /// Guards against a steady stream of changes, in which some peer always has one more. Only the state
+    /// that a peer had when the lag was first noticed counts, and the lag ends once this instance has
+    /// reached it.
     pub(super) fn detect_lag(&mut self, now: MonoMs) {
-        let extent = self.newest_known();
+        let own_state = self.newest_state();
         let first_ahead = self.peers_ahead(now).next().map(|member| PeerLag {
-            extent: KnownState {
+            peer_state: KnownState {
                 revision: member.revision,
                 version: member.version,
             },
             since: now,
         });
-        let known_before = self
-            .behind
-            .filter(|behind| first_ahead.is_some() && !extent.covers(&behind.extent));
-        self.behind = known_before.or(first_ahead);
+        let ongoing = self
+            .lag
+            .filter(|lag| first_ahead.is_some() && !own_state.covers(&lag.peer_state));
+        self.lag = ongoing.or(first_ahead);
     }
 
-    fn newest_known(&self) -> KnownState {
+    /// Returns the newest revision and version that this instance has seen, not necessarily without gaps.
+    fn newest_state(&self) -> KnownState {
         KnownState {
             revision: self.targets.revision(),
             version: self.version(),
@@ -96,25 +103,27 @@
             .filter(move |member| member.version > version || member.revision > revision)
     }
 
-    /// Whether peers have known something published for so long that this instance's own way to
-    /// the store must be out of order, however it looks.
+    /// Returns whether this instance has lacked published state of its peers for so long that its own
+    /// access to the store must be broken, even if calls seem to succeed.
     pub fn is_lagging(&self, now: MonoMs) -> bool {
-        self.behind.is_some_and(|behind| {
-            let still_lacks = !self.newest_known().covers(&behind.extent);
-            still_lacks && now.since(behind.since) >= BEHIND_MS
+        self.lag.is_some_and(|lag| {
+            let still_lacks = !self.newest_state().covers(&lag.peer_state);
+            still_lacks && now.since(lag.since) >= LAG_TIMEOUT_MS
         })
     }
 
-    /// What to ask peers for, and which ones, if this instance is behind them.
+    /// Returns a request for the state that this instance lacks, and the peers to which to send it. It is
+    /// made while the store doesn't answer, no configuration is known or this instance lags; `None`
+    /// otherwise, or if no peer is ahead.
     ///
-    /// Guards against a store that turns this instance away, or a connection to it that has gone
-    /// silent, while it serves the others: targets that leave would get requests, and keys that
-    /// were taken away would count.
+    /// Guards against a store that refuses this instance, or a connection to it that has gone silent, while
+    /// the store serves other instances: targets that leave would still get requests, and revoked keys
+    /// would still be accepted.
     pub fn catch_up_request(&self, now: MonoMs) -> Option<(Vec<SocketAddr>, Frame)> {
         if !self.is_store_lost() && self.version() != 0 && !self.is_lagging(now) {
             return None;
         }
-        // Those nearby first: bytes between failure domains cost, and take longer.
+        // Peers of the own failure domain first: traffic between domains is charged and takes longer.
         let mut ahead: Vec<&Member> = self.peers_ahead(now).collect();
         ahead.sort_by_key(|member| {
             let is_far = member.failure_domain != self.own.failure_domain;
@@ -123,21 +132,21 @@
         let peers: Vec<SocketAddr> = ahead
             .iter()
             .map(|member| member.peer_address)
-            .take(ASKED_PEERS)
+            .take(MAX_CATCH_UP_PEERS)
             .collect();
-        let wants = CatchUpRequest {
+        let request = CatchUpRequest {
             reply_to: self.own.peer_address,
             known: self.known_state(),
         };
         let frame = Frame {
-            catch_up_request: Some(wants),
+            catch_up_request: Some(request),
             ..Frame::default()
         };
         (!peers.is_empty()).then_some((peers, frame))
     }
 
-    /// Takes in what a peer tells. `decode` reads a published configuration. Returns the changes of targets
-    /// that are news.
+    /// Applies a frame from a peer, `from` being its run. `decode` parses a published configuration.
+    /// Returns the changes of targets that take effect.
     pub fn on_frame(
         &mut self,
         now: MonoMs,
@@ -161,22 +170,25 @@
             self.activate_configuration(configuration, published.text);
         }
         let changes = match (frame.relay_status, address) {
-            (Some(word), Some(relay)) => self.apply_relay_status(now, relay, &word, frame.targets),
+            (Some(status), Some(relay)) => {
+                self.apply_relay_status(now, relay, &status, frame.targets)
+            }
             (Some(_), None) => Vec::new(),
             (None, _) => self.apply_changes(now, frame.targets),
         };
-        let warnings = Warnings {
+        let notices = FleetNotices {
             crashes: frame.crashes,
             served: frame.served,
             unreachable: frame.unreachable,
             leaving: frame.leaving,
             limits: frame.limits,
-            displaced: frame.displaced,
+            takeovers: frame.displaced,
         };
-        self.apply_warnings(now, warnings);
-        for seen in &frame.paces {
-            if let Some(spec) = self.spec_of_target(&seen.id) {
-                self.engines.apply_pace(now, &spec, &seen.id, seen.pace);
+        self.apply_fleet_notices(now, notices);
+        for reported in &frame.paces {
+            if let Some(spec) = self.spec_of_target(&reported.id) {
+                self.engines
+                    .apply_pace(now, &spec, &reported.id, reported.pace);
             }
         }
         if frame.is_snapshot {
@@ -184,7 +196,7 @@
             self.engines.remove_run(from, &kept);
         }
         if !frame.placed.is_empty() {
-            self.heard_at = Some(now);
+            self.last_peer_prompt_at = Some(now);
         }
         for placed in frame.placed {
             if let Some(spec) = self.spec_of(&placed) {
@@ -203,13 +215,13 @@
         changes
     }
 
-    /// Takes in changes of targets. Returns those that are news.
+    /// Applies changes of targets from a peer. Returns those that take effect.
     pub(super) fn apply_changes(
         &mut self,
         now: MonoMs,
         changes: Vec<TargetChange>,
     ) -> Vec<TargetChange> {
-        keep(changes, |change| {
+        retain_new(changes, |change| {
             self.targets.apply_peer_change(now, change)
         })
     }
@@ -229,12 +241,12 @@
         &mut self,
         now: MonoMs,
         from: SocketAddr,
-        beat: Option<HeartbeatFrame>,
+        heartbeat: Option<HeartbeatFrame>,
         roster: Option<Roster>,
     ) {
-        if let Some(beat) = beat {
-            self.members.apply_heartbeat(now, from, beat);
-            if let Some(follow) = beat.follow_request {
+        if let Some(heartbeat) = heartbeat {
+            self.members.apply_heartbeat(now, from, heartbeat);
+            if let Some(follow) = heartbeat.follow_request {
                 self.followers.apply_follow_request(now, from, follow);
             }
         }
@@ -248,21 +260,27 @@
         self.update_ranks(now);
     }
 
-    /// Takes in requests that break their targets or don't, and targets that can't be reached. A hub
-    /// passes on what is new, since not all instances link to each other: such a request may come to
-    /// any instance next, and any instance may have streams at such a target.
-    fn apply_warnings(&mut self, now: MonoMs, told: Warnings) {
-        let new = Warnings {
-            crashes: keep(told.crashes, |crash| self.crashes.record_crash(now, crash)),
-            served: keep(told.served, |request| self.crashes.record_served(*request)),
-            unreachable: keep(told.unreachable, |id| {
+    /// Applies crashes, served requests and notices of targets. A hub passes on what is new, since not all
+    /// instances link to each other: such a request may arrive at any instance next, and any instance may
+    /// have streams at such a target.
+    fn apply_fleet_notices(&mut self, now: MonoMs, notices: FleetNotices) {
+        let new = FleetNotices {
+            crashes: retain_new(notices.crashes, |crash| {
+                self.crashes.record_crash(now, crash)
+            }),
+            served: retain_new(notices.served, |request| {
+                self.crashes.record_served(*request)
+            }),
+            unreachable: retain_new(notices.unreachable, |id| {
                 self.calls.record_unreachable(now, id)
             }),
-            leaving: keep(told.leaving, |run| self.targets.record_leaving(now, run)),
-            limits: keep(told.limits, |limit| {
+            leaving: retain_new(notices.leaving, |run| self.targets.record_leaving(now, run)),
+            limits: retain_new(notices.limits, |limit| {
                 self.notices.apply_peer_limit(now, limit)
             }),
-            displaced: keep(told.displaced, |entry| self.targets.apply_takeover(entry)),
+            takeovers: retain_new(notices.takeovers, |entry| {
+                self.targets.apply_takeover(entry)
+            }),
         };
         if self.is_hub() {
             let news = self.news.for_all();
@@ -271,7 +289,7 @@
             news.unreachable.extend(new.unreachable);
             news.leaving.extend(new.leaving);
             news.limits.extend(new.limits);
-            news.displaced.extend(new.displaced);
+            news.displaced.extend(new.takeovers);
         }
     }
 
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -1,8 +1,9 @@
-//! Prompts: which engines read them, and what was seen of it.
+//! Prompts: the choice of their engines, and the record of their progress.
 
 use {
     super::{
-        DecisionInputs, PromptPlacement, PromptRequest, Refusal, Serving, asks::MIN_RETRY_AFTER_MS,
+        DecisionInputs, PromptPlacement, PromptRequest, Refusal, Serving,
+        requests::MIN_RETRY_AFTER_MS,
     },
     crate::{
         catalog::EngineSpec,
@@ -17,17 +18,23 @@
     xxhash_rust::xxh3::xxh3_64_with_seed,
 };
 
-/// Groups of engines that are tried for a prompt before it is refused: a full group beside one that
-/// has room is chance, two are a load.
+/// Number of groups of engines that are tried for a prompt before it is refused. One full group may be
+/// chance while another has room; two full groups are an overload.
 const TRIED_GROUPS: usize = 2;
 
 impl Serving {
-    /// Whether a prompt may be sent at all. Returns its name.
+    /// Admits a prompt and returns a new id for it, or refuses it as poison or because the retry budget is
+    /// used up.
     ///
     /// # Errors
     /// A [`Refusal`]; the prompt has not been sent.
-    pub fn admit_prompt(&mut self, now: MonoMs, ask: &PromptRequest) -> Result<JobId, Refusal> {
-        self.admit_request(now, &ask.service, ask.fingerprint, ask.is_repeat)?;
+    pub fn admit_prompt(&mut self, now: MonoMs, request: &PromptRequest) -> Result<JobId, Refusal> {
+        self.admit_request(
+            now,
+            &request.service,
+            request.fingerprint,
+            request.is_repeat,
+        )?;
         self.next_job += 1;
         Ok(JobId {
             run: self.own.run,
@@ -35,8 +42,8 @@
         })
     }
 
-    /// The groups of engines to try for a prompt, one after the other: the first at random, and
-    /// another one should that be too busy.
+    /// Returns the groups of engines to try for a prompt, in order: one at random, and another in case that
+    /// one is too busy.
     pub fn groups_to_try(&mut self) -> Vec<EngineGroup> {
         let mut groups = self.own_groups();
         self.rng.shuffle(&mut groups);
@@ -44,14 +51,14 @@
         groups
     }
 
-    /// Notes that a peer is asked to choose for a prompt: it may have counted it as sent, whatever
-    /// becomes of its answer.
+    /// Records that a peer was asked to choose engines for a prompt. Even if its response never arrives, it
+    /// may have recorded the prompt as sent, so the deciders of the group are told of its end.
     pub fn record_placement_request(&mut self, job: JobId, group: EngineGroup) {
-        self.asked_groups.entry(job).or_default().push(group);
+        self.requested_groups.entry(job).or_default().push(group);
     }
 
-    /// Chooses engines of a group for a prompt of this instance or another, counts it as sent there
-    /// and tells those that are to know.
+    /// Chooses engines of a group for a prompt of this instance or of a peer, records it as sent to them and
+    /// queues a notice for the group's deciders.
     ///
     /// # Errors
     /// A [`Refusal`]; the prompt has not been sent.
@@ -60,17 +67,17 @@
         now: MonoMs,
         job: JobId,
         group: EngineGroup,
-        ask: &PromptRequest,
+        request: &PromptRequest,
     ) -> Result<Placement, Refusal> {
         let spec = self
-            .spec_of_service(&ask.service)
+            .spec_of_service(&request.service)
             .ok_or(Refusal::NoTarget)?;
-        let entries = self.usable_engines(now, group, ask);
+        let entries = self.usable_engines(now, group, request);
         if entries.is_empty() {
             return Err(Refusal::NoTarget);
         }
         self.engines.advance(now, &spec, &entries);
-        let shape = self.shape_of(now, &spec, group, ask, entries.len());
+        let shape = self.shape_of(now, &spec, group, request, entries.len());
         let loads: Vec<&EngineLoad> = entries
             .iter()
             .filter_map(|id| self.engines.get(id))
@@ -86,55 +93,55 @@
             .collect();
         let choice =
             choose(now, &spec, &shape, &candidates).ok_or_else(|| overloaded(&loads, None))?;
-        let weighed = self.decision_inputs(now, &spec, &shape, &choice, entries.len());
-        if self.is_not_worthwhile(&shape, &weighed) && !ask.is_resumed {
-            return Err(overloaded(&loads, Some(weighed)));
+        let inputs = self.decision_inputs(now, &spec, &shape, &choice, entries.len());
+        if self.should_refuse(&shape, &inputs) && !request.is_resumed {
+            return Err(overloaded(&loads, Some(inputs)));
         }
         let engines = choice
             .engines
             .iter()
-            .map(|place| entries[*place].clone())
+            .map(|index| entries[*index].clone())
             .collect();
         let placed = PlacedPrompt {
             job,
             engines,
-            prompt_tokens: ask.prompt_tokens,
-            answer_tokens: ask.answer_tokens,
-            pause_limit_ms: u32::try_from(ask.pause_limit_ms).unwrap_or(u32::MAX),
-            slack_ms: i32::try_from(ask.slack_ms).unwrap_or(0),
+            prompt_tokens: request.prompt_tokens,
+            answer_tokens: request.answer_tokens,
+            pause_limit_ms: u32::try_from(request.pause_limit_ms).unwrap_or(u32::MAX),
+            slack_ms: i32::try_from(request.slack_ms).unwrap_or(0),
             reserved: shape.reserved,
             goes_first: choice.goes_first,
             first_event_ms: choice.first_event_ms as u32,
         };
         self.add_placed_job(now, &spec, placed.clone());
-        self.news.of(group).placed.push(placed.clone());
+        self.news.for_group(group).placed.push(placed.clone());
         Ok(Placement {
             placed,
             first_event_ms: choice.first_event_ms,
-            inputs: weighed,
+            inputs,
         })
     }
 
-    /// What a prompt asks of a group's engines now.
+    /// Combines a prompt's request with the current state of a group of engines.
     fn shape_of(
         &mut self,
         now: MonoMs,
         spec: &EngineSpec,
         group: EngineGroup,
-        ask: &PromptRequest,
+        request: &PromptRequest,
         engines: usize,
     ) -> PromptShape {
-        let tokens = ask.prompt_tokens + u64::from(ask.most_answer_tokens);
+        let tokens = request.prompt_tokens + u64::from(request.max_answer_tokens);
         PromptShape {
-            prompt_tokens: ask.prompt_tokens,
-            answer_tokens: ask.answer_tokens,
-            slack_ms: ask.slack_ms.max(0) as f64,
-            pause_limit_ms: ask.pause_limit_ms as f64,
-            patience_ms: ask.patience_ms as f64,
+            prompt_tokens: request.prompt_tokens,
+            answer_tokens: request.answer_tokens,
+            slack_ms: request.slack_ms.max(0) as f64,
+            pause_limit_ms: request.pause_limit_ms as f64,
+            patience_ms: request.patience_ms as f64,
             reserved: ReservedMemory::for_tokens(tokens, spec.memory_tokens),
             utilization: self.engines.utilization(now, group, engines),
             is_blind: self.is_blind(now, group),
-            without: self.without,
+            disabled: self.disabled,
         }
     }
 
@@ -146,38 +153,39 @@
         choice: &Choice,
         engines: usize,
     ) -> DecisionInputs {
-        let time_loss = if self.without.has(Mechanism::PriceOfTime) {
+        let time_loss = if self.disabled.is_enabled(Mechanism::PriceOfTime) {
             work_loss(spec, shape.prompt_tokens, shape.utilization)
         } else {
             0.0
         };
         DecisionInputs {
             gain: choice.gain,
-            harm: choice.cost_to_others,
+            cost_to_others: choice.cost_to_others,
             time_loss,
-            used: shape.utilization,
+            utilization: shape.utilization,
             first_event_ms: choice.first_event_ms,
             engines: u32::try_from(engines).unwrap_or(u32::MAX),
             is_blind: shape.is_blind,
-            heard_ms_ago: self.heard_at.map(|at| now.since(at)),
+            last_peer_prompt_age_ms: self.last_peer_prompt_at.map(|at| now.since(at)),
         }
     }
 
-    /// Whether nobody would wait for the answer, or others would lose more by it than it is worth. A
-    /// stream that its caller has a part of is resumed all the same.
-    fn is_not_worthwhile(&self, shape: &PromptShape, weighed: &DecisionInputs) -> bool {
-        let costs_too_much = weighed.harm + weighed.time_loss > weighed.gain;
-        weighed.first_event_ms > shape.patience_ms
-            || costs_too_much && self.without.has(Mechanism::RefusalByWorth)
+    /// Returns whether a prompt should be refused: its caller isn't expected to wait for the first event,
+    /// or the prompt costs others more than its answer is worth. A stream of which the caller has a part
+    /// already is resumed all the same.
+    fn should_refuse(&self, shape: &PromptShape, inputs: &DecisionInputs) -> bool {
+        let costs_too_much = inputs.cost_to_others + inputs.time_loss > inputs.gain;
+        inputs.first_event_ms > shape.patience_ms
+            || costs_too_much && self.disabled.is_enabled(Mechanism::RefusalByWorth)
     }
 
-    /// Whether this instance knows little of what others place on a group's engines: it isn't told, or
-    /// has been for a moment only.
+    /// Returns whether this instance knows little of what others place on a group's engines: it isn't told of
+    /// their prompts, or has been only for a moment.
     ///
-    /// The load that this answers: all callers come back at once to instances that were all started
-    /// anew and don't know each other yet.
+    /// Guards against the return of all callers at the same time to instances that have all just restarted
+    /// and don't know each other yet.
     fn is_blind(&self, now: MonoMs, group: EngineGroup) -> bool {
-        if !self.without.has(Mechanism::Spreading) {
+        if !self.disabled.is_enabled(Mechanism::Spreading) {
             return false;
         }
         let is_told = !self.members.is_large()
@@ -189,8 +197,8 @@
         !is_told || now < self.settled_at
     }
 
-    /// Takes up engines that were chosen here or by a peer; `None` if this instance doesn't know
-    /// all of them as ready, which the peer may not have heard yet.
+    /// Records a prompt as sent to engines that were chosen here or by a peer, and returns their entries.
+    /// `None` if this instance doesn't know all of them as ready, which a peer may not have learned yet.
     pub fn accept_placement(
         &mut self,
         now: MonoMs,
@@ -214,7 +222,7 @@
             reserved: placed.reserved,
             goes_first: placed.goes_first,
             first_event_ms: placement.first_event_ms,
-            weighed: placement.inputs,
+            inputs: placement.inputs,
         })
     }
 
@@ -229,19 +237,20 @@
         &self,
         now: MonoMs,
         group: EngineGroup,
-        ask: &PromptRequest,
+        request: &PromptRequest,
     ) -> Vec<TargetId> {
         let ready: Vec<&TargetId> = self
             .targets
-            .ready(&ask.service)
+            .ready(&request.service)
             .map(|entry| &entry.id)
             .filter(|id| group.contains(id))
-            .filter(|id| !ask.excluded.contains(id))
+            .filter(|id| !request.excluded.contains(id))
             .collect();
         let reachable: Vec<TargetId> = ready
             .iter()
             .filter(|id| {
-                !self.without.has(Mechanism::PassingOver) || !self.calls.is_unreachable(now, id)
+                !self.disabled.is_enabled(Mechanism::PassingOver)
+                    || !self.calls.is_unreachable(now, id)
             })
             .map(|id| (*id).clone())
             .collect();
@@ -251,48 +260,49 @@
         reachable
     }
 
-    /// Whether a stream is to be moved to another engine: its own can't be reached, and there is one
-    /// that can.
+    /// Returns whether a stream should move to another engine: its own is unreachable, and another ready
+    /// engine of the service is not.
     pub fn should_move_stream(&self, now: MonoMs, engine: &TargetEntry) -> bool {
-        let is_lost = |id: &str| self.calls.is_unreachable(now, id);
-        is_lost(&engine.id)
+        let is_unreachable = |id: &str| self.calls.is_unreachable(now, id);
+        is_unreachable(&engine.id)
             && self
                 .targets
                 .ready(&engine.service)
-                .any(|other| other.id != engine.id && !is_lost(&other.id))
+                .any(|other| other.id != engine.id && !is_unreachable(&other.id))
     }
 
-    /// How many times slower than published an engine is taken to be.
+    /// Returns the factor by which an engine is considered slower than its published pace.
     pub fn pace_of(&self, engine: &str) -> f64 {
         self.engines.pace_of(engine)
     }
 
-    /// Notes the first event of a prompt.
+    /// Records the first event of a prompt and queues a notice for its deciders.
     pub fn record_first_event(&mut self, now: MonoMs, job: JobId) {
         self.apply_first_event(now, job);
         for group in self.groups_of(job) {
-            self.news.of(group).started.push(job);
+            self.news.for_group(group).started.push(job);
         }
     }
 
-    /// Notes that the engine that was to answer a prompt failed it.
+    /// Records that the engine that was to answer a prompt failed, and queues a notice for its deciders.
     pub fn record_prompt_failure(&mut self, now: MonoMs, job: JobId) {
         for group in self.groups_of(job) {
-            self.news.of(group).failed.push(job);
+            self.news.for_group(group).failed.push(job);
         }
         self.engines.record_failure(now, job);
     }
 
-    /// Notes that a prompt is over.
+    /// Removes a prompt that has ended and queues a notice for its deciders.
     pub fn record_prompt_ended(&mut self, job: JobId) {
         for group in self.groups_of(job) {
-            self.news.of(group).ended.push(job);
+            self.news.for_group(group).ended.push(job);
         }
-        self.asked_groups.remove(&job);
+        self.requested_groups.remove(&job);
         self.engines.remove_job(job);
     }
 
-    /// Notes an event of a stream of an engine, which tells when its passes end.
+    /// Records an event of an engine's stream, from which the ends of its passes are derived. Queues the
+    /// engine's pace for the deciders if it has changed.
     pub fn record_stream_event(&mut self, now: MonoMs, engine: &TargetEntry) {
         let Some(spec) = self.spec_of_service(&engine.service) else {
             return;
@@ -300,24 +310,27 @@
         if let Some(pace) = self.engines.record_event(now, &spec, &engine.id) {
             let id = engine.id.clone();
             let group = self.groups.group_of(&id);
-            self.news.of(group).paces.push(EnginePace { id, pace });
+            self.news
+                .for_group(group)
+                .paces
+                .push(EnginePace { id, pace });
         }
     }
 }
 
-/// How much this instance likes an engine, from 0 to 1: instances that know nothing of each other,
-/// as after a start of all of them, choose different engines then.
+/// Returns the affinity of an instance's run to an engine, from 0 to 1. It lets instances that know nothing
+/// of each other, as after a restart of all of them, choose different engines.
 fn affinity(run: u64, engine: &str) -> f64 {
     let hash = xxh3_64_with_seed(engine.as_bytes(), run);
     hash as f64 / u64::MAX as f64
 }
 
-/// A refusal with the time after which half of what is waiting to be read will have been read.
-fn overloaded(loads: &[&EngineLoad], weighed: Option<DecisionInputs>) -> Refusal {
+/// Builds a refusal with the time after which half of the reading that waits is expected to be done.
+fn overloaded(loads: &[&EngineLoad], inputs: Option<DecisionInputs>) -> Refusal {
     let waiting_ms: f64 = loads.iter().map(|load| load.total_ms()).sum();
     let mean_ms = waiting_ms / loads.len().max(1) as f64;
     Refusal::Overloaded {
         retry_after_ms: ((mean_ms / 2.0) as u64).max(MIN_RETRY_AFTER_MS),
-        weighed,
+        inputs,
     }
 }
--- a/crates/serving/src/serving/quotas.rs
+++ b/crates/serving/src/serving/quotas.rs
@@ -1,11 +1,11 @@
-//! Permission to send to targets that name a limit.
+//! Permits for requests to targets with a rate limit.
 //!
-//! One instance grants requests to a target for all: its holder. Equal parts of a limit would leave most of it
-//! unused where each of hundreds of instances sends little, and a limit that each kept for itself would be
-//! exceeded by all together.
+//! One instance, the holder, grants requests to a target for all instances. Equal shares of a limit would
+//! leave most of it unused where hundreds of instances send little each, and a limit that each instance
+//! applied on its own would be exceeded by all of them together.
 
 use {
-    super::{Refusal, Serving, asks::MIN_RETRY_AFTER_MS},
+    super::{Refusal, Serving, requests::MIN_RETRY_AFTER_MS},
     crate::{
         fleet::{Frame, hash},
         mechanism::Mechanism,
@@ -18,21 +18,21 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Time for which a target is left alone whose holder doesn't answer or is another one by now, in ms: instances
+/// Time for which nothing is sent to a target whose holder doesn't answer or has changed, in ms. Instances
 /// agree on the holder again within some seconds.
-const UNANSWERED_MS: u64 = 200;
+const NO_HOLDER_PAUSE_MS: u64 = 200;
 
-/// Where requests to a target with a limit are granted.
+/// Where permits for a target with a limit come from.
 #[derive(Debug, Clone, Copy)]
-enum Quota {
-    /// At the instance that links there.
-    Peer(SocketAddr),
-    /// Here, at a rate.
+enum PermitSource {
+    /// The holder, by its peer address.
+    Holder(SocketAddr),
+    /// This instance, at a rate in requests per second.
     Own { per_s: f64 },
 }
 
 impl Serving {
-    /// Whether a request may be sent to a target now.
+    /// Takes permission to send a request to a target now, or returns the request to send to its holder.
     pub fn request_permission(&mut self, now: MonoMs, target: &TargetId) -> Permission {
         if self.closed_until(now, target).is_some() {
             return Permission::Refused;
@@ -40,19 +40,17 @@
         let Some(limit_per_s) = self.limit_per_s(target) else {
             return Permission::Granted;
         };
-        match self.quota_for(target, limit_per_s) {
-            Quota::Peer(holder) => {
+        match self.permit_source(target, limit_per_s) {
+            PermitSource::Holder(holder) => {
                 let reply_to = Some(self.own.peer_address);
-                let ask = self.permit_request(target, limit_per_s, reply_to);
-                Permission::AskHolder {
-                    holder,
-                    request: ask,
-                }
+                let request = self.permit_request(target, limit_per_s, reply_to);
+                Permission::AskHolder { holder, request }
             }
-            Quota::Own { per_s } => self.take_token(now, target, per_s),
+            PermitSource::Own { per_s } => self.take_token(now, target, per_s),
         }
     }
 
+    /// Takes a token from the bucket of a target for which this instance grants requests at `per_s`.
     fn take_token(&mut self, now: MonoMs, target: &TargetId, per_s: f64) -> Permission {
         let bucket = self.quotas.bucket(now, target);
         match bucket.take(now, per_s) {
@@ -64,61 +62,63 @@
         }
     }
 
-    /// Takes in the answer of a holder, `None` if it gave none in time. Returns whether the request may be sent.
+    /// Applies the response of a holder, `None` if none came in time. Returns whether the request may be
+    /// sent.
     pub fn apply_permit_response(
         &mut self,
         now: MonoMs,
         target: &TargetId,
-        answer: Option<PermitResponse>,
+        response: Option<PermitResponse>,
     ) -> bool {
-        let refused_for_ms = answer.map_or(Some(UNANSWERED_MS), |answer| answer.refused_for_ms);
+        let refused_for_ms =
+            response.map_or(Some(NO_HOLDER_PAUSE_MS), |response| response.refused_for_ms);
         if let Some(wait_ms) = refused_for_ms {
             self.quotas.record_refusal(now, target, wait_ms);
         }
         refused_for_ms.is_none()
     }
 
-    /// Answers another instance that takes this one for the holder of a target's quota; `None` if it only
-    /// tells of a request.
+    /// Answers a peer that considers this instance the holder of a target's quota. Refuses if it isn't.
+    /// `None` for a notice of a request that was sent without a permit, which is only charged.
     pub fn answer_permit_request(
         &mut self,
         now: MonoMs,
-        ask: &PermitRequest,
+        request: &PermitRequest,
     ) -> Option<PermitResponse> {
-        let is_holder = self.holder(&ask.target) == Some(self.own.peer_address);
-        let bucket = self.quotas.bucket(now, &ask.target);
-        if ask.reply_to.is_none() {
-            bucket.charge(now, ask.limit_per_s);
+        let is_holder = self.holder(&request.target) == Some(self.own.peer_address);
+        let bucket = self.quotas.bucket(now, &request.target);
+        if request.reply_to.is_none() {
+            bucket.charge(now, request.limit_per_s);
             return None;
         }
         let taken = if is_holder {
-            bucket.take(now, ask.limit_per_s)
+            bucket.take(now, request.limit_per_s)
         } else {
-            Err(UNANSWERED_MS)
+            Err(NO_HOLDER_PAUSE_MS)
         };
         Some(PermitResponse {
-            number: ask.number,
+            number: request.number,
             refused_for_ms: taken.err(),
         })
     }
 
-    /// Notes a call that is sent to a target in any case. Returns what to tell whom, if the target names a limit and
-    /// another instance is its holder.
+    /// Charges a request that was sent to a target without a permit. Returns the notice to send if another
+    /// instance is the holder; `None` if this instance grants requests itself or the target has no limit.
     pub fn note_unpermitted_send(
         &mut self,
         now: MonoMs,
         target: &TargetId,
     ) -> Option<(SocketAddr, Frame)> {
         let limit_per_s = self.limit_per_s(target)?;
-        match self.quota_for(target, limit_per_s) {
-            Quota::Peer(holder) => {
+        match self.permit_source(target, limit_per_s) {
+            PermitSource::Holder(holder) => {
                 let frame = Frame {
                     permit_request: Some(self.permit_request(target, limit_per_s, None)),
                     ..Frame::default()
                 };
                 Some((holder, frame))
             }
-            Quota::Own { per_s } => {
+            PermitSource::Own { per_s } => {
                 self.quotas.bucket(now, target).charge(now, per_s);
                 None
             }
@@ -140,21 +140,22 @@
         }
     }
 
-    /// What this instance goes by that sends to a target with a limit.
-    fn quota_for(&self, target: &TargetId, limit_per_s: f64) -> Quota {
+    /// Returns where permits for a target come from. Without a known holder each instance grants an equal
+    /// share of the limit.
+    fn permit_source(&self, target: &TargetId, limit_per_s: f64) -> PermitSource {
         match self.holder(target) {
-            Some(holder) if holder != self.own.peer_address => Quota::Peer(holder),
-            Some(_own) => Quota::Own { per_s: limit_per_s },
-            None => Quota::Own {
+            Some(holder) if holder != self.own.peer_address => PermitSource::Holder(holder),
+            Some(_own) => PermitSource::Own { per_s: limit_per_s },
+            None => PermitSource::Own {
                 per_s: limit_per_s / self.members.peak_size() as f64,
             },
         }
     }
 
-    /// The instance that grants requests to a target for all: a hub of a large fleet, to which all link, else
-    /// any that serves. `None` if none is known: each has an equal part of the limit then.
+    /// Returns the instance that grants requests to a target for all instances: a hub in a large fleet,
+    /// since all instances link to hubs, else any serving instance. `None` if none is known.
     fn holder(&self, target: &TargetId) -> Option<SocketAddr> {
-        if !self.without.has(Mechanism::SharedQuotas) {
+        if !self.disabled.is_enabled(Mechanism::SharedQuotas) {
             return None;
         }
         let salt = xxh3_64(target.as_bytes());
@@ -168,7 +169,8 @@
         candidates.max_by_key(|address| hash(salt, *address))
     }
 
-    /// Requests a second that a target takes from all instances together, if it names a limit.
+    /// Returns the requests per second that a target takes from all instances together; `None` if it has no
+    /// limit.
     pub fn limit_per_s(&self, target: &str) -> Option<f64> {
         self.notices.limit_per_s(target)
     }
@@ -177,14 +179,15 @@
         self.limit_per_s(target).is_some()
     }
 
-    /// Until when nothing may be sent to a target, if that is so now.
+    /// Returns until when nothing may be sent to a target, because its holder refused a permit or it asked
+    /// for a pause; `None` if it is open.
     pub fn closed_until(&self, now: MonoMs, target: &str) -> Option<MonoMs> {
         let refused = self.quotas.refused_until(now, target);
         let refused = refused.filter(|_until| self.is_limited(target));
         refused.max(self.notices.paused_until(now, target))
     }
 
-    /// The targets to which nothing may be sent now.
+    /// Returns the targets to which nothing may be sent now.
     pub fn closed_targets(&self, now: MonoMs) -> Vec<TargetId> {
         let may_be_closed = self
             .quotas
@@ -196,7 +199,8 @@
             .collect()
     }
 
-    /// Why none of a service's targets takes a request now.
+    /// Returns the refusal of a request for which no target of a service is open: until the first one
+    /// opens, if any is closed, else because there is no target.
     pub fn refusal_for_closed_targets(&self, now: MonoMs, service: &str) -> Refusal {
         let until = |entry: &TargetEntry| self.closed_until(now, &entry.id);
         let opens_at = self.targets.ready(service).filter_map(until).min();
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and what is passed on to those that don't.
+//! Roles of instances towards the store, and what relays pass on to their followers.
 
 use {
     super::Serving,
@@ -11,31 +11,31 @@
     whinlatch_core::MonoMs,
 };
 
-/// Instances of a failure domain that an instance goes by: one tells it each change, the other takes
-/// over when that one is gone.
+/// Number of relays that an instance follows in its failure domain: one sends it each change, the other
+/// takes over when that one dies.
 const RELAYS: usize = 2;
-/// Instances of a failure domain that are asked to read the store, in the order of their strength, before
-/// all of them are taken to be turned away: each of them asks a store that is away several times a second.
+/// Number of instances of a failure domain, the strongest first, that try to read the store before it is
+/// considered to refuse the whole domain. Each of them calls an unreachable store several times a second.
 const RELAY_CANDIDATES: usize = 4;
-/// Time without an answer of the store after which a relay says so, in ms: a few tries.
-const CUT_OFF_MS: u64 = 600;
-/// Processor time from which an instance reads the store at once also when the system starts for the first
-/// time, in thousandths of a core: such instances are the first that others go by.
-const STRONG_CPU_MILLIS: u32 = 200;
-/// Time that a weaker instance waits for its peers then, at least, in ms: the links of a fleet that starts as
-/// a whole are open and relays known.
-const FIRST_START_PATIENCE_MS: u64 = 1_000;
-/// Time within which those that were told nothing by then read the store, one after the other, in ms.
+/// Time without an answer of the store after which a relay reports that it is cut off, in ms: a few attempts.
+const CUT_OFF_TIMEOUT_MS: u64 = 600;
+/// Processor time from which an instance reads the store immediately even at the first start of the system,
+/// in thousandths of a core. Such instances are the first relays.
+const IMMEDIATE_READ_CPU_MILLIS: u32 = 200;
+/// Minimum time for which a weaker instance waits for its peers at the first start, in ms. After that the
+/// links of a fleet whose instances start together are open and the relays known.
+const FIRST_START_MIN_WAIT_MS: u64 = 1_000;
+/// Time over which the instances that have received nothing by then spread their reads of the store, in ms.
 const FIRST_START_SPREAD_MS: u64 = 500;
 
-/// What an instance does about the store.
+/// Role of an instance towards the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreRole {
-    /// It watches the store, for itself and those that go by it.
+    /// It reads the store and its changes, for itself and its followers.
     Watch,
-    /// It goes by a relay.
+    /// It receives the content of the store from a relay.
     Follow(Relay),
-    /// It has no fresh word from any relay and looks for itself.
+    /// It has no fresh status from any relay, so it reads the store itself.
     StandIn {
         /// Whether the store doesn't answer its relays either.
         is_store_lost: bool,
@@ -43,7 +43,7 @@
 }
 
 impl StoreRole {
-    /// Its name in logs.
+    /// Returns the role's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Watch => "watch",
@@ -54,14 +54,15 @@
 }
 
 impl Serving {
-    /// Whether any instance goes by this one.
+    /// Returns whether any instance follows this one.
     pub fn has_followers(&self) -> bool {
         !self.followers.is_empty()
     }
 
-    /// What this instance does about the store now.
+    /// Returns the role of this instance towards the store now. In a small fleet every instance reads the
+    /// store.
     pub fn store_role(&self, now: MonoMs) -> StoreRole {
-        let is_relay = !self.followers.is_empty() || self.is_first_reader(now);
+        let is_relay = !self.followers.is_empty() || self.is_reader(now);
         if !self.members.is_large() || is_relay {
             return StoreRole::Watch;
         }
@@ -73,28 +74,29 @@
         }
     }
 
-    /// The instances of this failure domain that are to read the store, this one possibly among them.
+    /// Returns the instances of this failure domain that should read the store, which may include this one.
     fn readers(&self, now: MonoMs) -> impl Iterator<Item = SocketAddr> {
-        let near = self
+        let candidates = self
             .members
             .ranks()
             .in_own_domain()
             .iter()
             .take(RELAY_CANDIDATES);
-        near.filter(move |address| self.following.may_read(now, **address))
+        candidates
+            .filter(move |address| self.following.may_read(now, **address))
             .take(RELAYS)
             .copied()
     }
 
-    fn is_first_reader(&self, now: MonoMs) -> bool {
+    fn is_reader(&self, now: MonoMs) -> bool {
         self.readers(now)
             .any(|address| address == self.own.peer_address)
     }
 
-    /// The relays that this instance goes by, and what it asks of each in a heartbeat; the first one is to
-    /// tell it each change.
+    /// Returns the relays that this instance follows, and the request that its heartbeats carry to each.
+    /// Only the first relay is requested to send each change.
     pub fn follow_requests(&self, now: MonoMs) -> Vec<(SocketAddr, FollowRequest)> {
-        if !self.members.is_large() || self.is_first_reader(now) {
+        if !self.members.is_large() || self.is_reader(now) {
             return Vec::new();
         }
         let known = self.known_state();
@@ -104,11 +106,11 @@
         };
         self.readers(now)
             .enumerate()
-            .map(|(place, relay)| (relay, follow(place == 0)))
+            .map(|(index, relay)| (relay, follow(index == 0)))
             .collect()
     }
 
-    /// How far this instance's knowledge goes.
+    /// Returns the revision and version up to which this instance knows all published state.
     pub(super) fn known_state(&self) -> KnownState {
         let known_to = self.following.known_to().unwrap_or(0);
         KnownState {
@@ -117,102 +119,108 @@
         }
     }
 
-    /// Revision up to which all that was published is known, read here or told.
+    /// Returns the revision up to which this instance knows all published changes, from the store or from
+    /// relays; `None` before it first received them all.
     pub fn known_to(&self) -> Option<u64> {
         self.following.known_to()
     }
 
-    /// How long an instance that starts waits to be told what is published before it reads it, in ms.
+    /// Returns how long a starting instance waits to receive the published state from peers before it reads
+    /// the store, in ms.
     ///
-    /// Nobody waits but at the first start of the system, when no callers are there yet. After the loss of all
-    /// instances reading takes a twentieth of a second, and finding each other half a second and more.
+    /// Only weaker instances wait, and only at the first start of the system, when there are no callers
+    /// yet. After the loss of all instances, reading the store takes a twentieth of a second, while finding
+    /// each other takes half a second and more.
     pub fn start_patience_ms(&mut self, is_first_start: bool) -> u64 {
-        if !is_first_start || self.own.cpu_millis >= STRONG_CPU_MILLIS {
+        if !is_first_start || self.own.cpu_millis >= IMMEDIATE_READ_CPU_MILLIS {
             return 0;
         }
-        FIRST_START_PATIENCE_MS + self.rng.u64(..FIRST_START_SPREAD_MS)
+        FIRST_START_MIN_WAIT_MS + self.rng.u64(..FIRST_START_SPREAD_MS)
     }
 
-    /// The store told all that was published up to a revision.
+    /// Records that this instance has read all published changes up to a revision of the store.
     pub fn mark_complete_at(&mut self, now: MonoMs, revision: u64) {
         self.following.mark_complete_at(revision);
         self.read_at = Some(now);
         self.followers.schedule_update();
     }
 
-    /// Settles what time alone decides of who reads the store.
+    /// Evicts expired relays and followers, and applies what follows from the time since the store's last
+    /// answer.
     pub(super) fn tick_relays(&mut self, now: MonoMs) {
         self.followers.evict_expired(now);
         self.following.evict_expired(now);
         let own = self.own.peer_address;
         let is_cut_off = self
             .cut_off_since
-            .is_some_and(|since| now.since(since) >= CUT_OFF_MS);
+            .is_some_and(|since| now.since(since) >= CUT_OFF_TIMEOUT_MS);
         if is_cut_off && self.following.may_read(now, own) {
             self.following.exclude(now, own);
             self.followers.schedule_update();
         }
-        // What is removed once the store is back may have lapsed only, whoever noticed its absence.
-        let duty = self.store_role(now);
-        if matches!(duty, StoreRole::StandIn { is_store_lost } if is_store_lost) {
+        // Entries that are removed after an outage may merely have expired in it, also if only the relays
+        // noticed the outage.
+        let role = self.store_role(now);
+        if matches!(role, StoreRole::StandIn { is_store_lost } if is_store_lost) {
             self.targets.store_failed();
         }
     }
 
-    /// Takes in a relay's word with what came with it. Returns what is news.
+    /// Applies a relay's status and the changes that came with it. Returns the changes that take effect.
     pub(super) fn apply_relay_status(
         &mut self,
         now: MonoMs,
         from: SocketAddr,
-        word: &RelayStatus,
+        status: &RelayStatus,
         targets: Vec<TargetChange>,
     ) -> Vec<TargetChange> {
-        let news = match word.since {
-            _ if !self.following.is_contiguous(word) => Vec::new(),
+        let applied = match status.since {
+            _ if !self.following.is_contiguous(status) => Vec::new(),
             None => self
                 .targets
-                .apply_peer_snapshot(now, word.known.revision, targets),
+                .apply_peer_snapshot(now, status.known.revision, targets),
             Some(_) => self.apply_changes(now, targets),
         };
         let version = self.version();
-        self.following.apply_status(now, from, word, version);
+        self.following.apply_status(now, from, status, version);
         if matches!(self.store_role(now), StoreRole::Follow(_)) {
             self.targets.store_answers(now);
         }
-        news
+        applied
     }
 
-    /// What is to be sent to those that go by this instance and are linked.
+    /// Returns the frames to send to linked followers: missing changes, or just this instance's status.
+    /// Empty until it has received the complete published state once.
     pub fn relay_news(
         &mut self,
         now: MonoMs,
         is_linked: impl Fn(&SocketAddr) -> bool,
     ) -> Vec<(Vec<SocketAddr>, Frame)> {
-        let Some(word) = self.relay_status(now) else {
+        let Some(status) = self.relay_status(now) else {
             return Vec::new();
         };
-        let shipment = self.followers.next_update(now, word.known, is_linked);
+        let update = self.followers.next_update(now, status.known, is_linked);
         let mut news: Vec<(Vec<SocketAddr>, Frame)> = Vec::new();
-        for (extent, to) in shipment.lagging {
-            news.push((to, self.missing_state(extent, Some(word))));
+        for (known, to) in update.lagging {
+            news.push((to, self.missing_state(known, Some(status))));
         }
-        if !shipment.changes_to.is_empty() {
+        if !update.changes_to.is_empty() {
             news.push((
-                shipment.changes_to,
-                self.missing_state(shipment.previous, Some(word)),
+                update.changes_to,
+                self.missing_state(update.previous, Some(status)),
             ));
         }
-        if !shipment.status_to.is_empty() {
-            news.push((shipment.status_to, bare(word)));
+        if !update.status_to.is_empty() {
+            news.push((update.status_to, status_frame(status)));
         }
         news
     }
 
-    /// What this instance can say of its knowledge, if it was ever told all.
+    /// Returns this instance's status as a relay; `None` if it never received the complete published state.
     fn relay_status(&self, now: MonoMs) -> Option<RelayStatus> {
         let followed = self.following.freshest(now);
-        let told_at = followed.map(|relay| MonoMs(now.0.saturating_sub(relay.age_ms)));
-        let as_of = self.read_at.max(told_at)?;
+        let relayed_as_of = followed.map(|relay| MonoMs(now.0.saturating_sub(relay.age_ms)));
+        let as_of = self.read_at.max(relayed_as_of)?;
         let known = self.known_state();
         Some(RelayStatus {
             known,
@@ -222,21 +230,21 @@
         })
     }
 
-    /// What a peer lacks that is behind.
-    pub fn catch_up_response(&self, now: MonoMs, wants: &CatchUpRequest) -> Frame {
-        self.missing_state(wants.known, self.relay_status(now))
+    /// Returns the state that a lagging peer lacks.
+    pub fn catch_up_response(&self, now: MonoMs, request: &CatchUpRequest) -> Frame {
+        self.missing_state(request.known, self.relay_status(now))
     }
 
-    /// What somebody lacks who knows all up to an extent, with a word that confirms the rest, if this instance
-    /// can give one.
-    fn missing_state(&self, extent: KnownState, word: Option<RelayStatus>) -> Frame {
-        let is_known = extent.revision > 0 && self.targets.has_removals_since(extent.revision);
-        // A list of all targets tells removals by what it lacks, which only a word makes certain.
-        let since = (is_known || word.is_none()).then_some(extent.revision);
+    /// Returns the state that a peer lacks beyond what it knows, with a status that confirms the rest, if
+    /// this instance has one.
+    fn missing_state(&self, known: KnownState, status: Option<RelayStatus>) -> Frame {
+        let has_removals = known.revision > 0 && self.targets.has_removals_since(known.revision);
+        // A list of all targets implies removals by what it omits, which is valid only with a status.
+        let since = (has_removals || status.is_none()).then_some(known.revision);
         let published = self.published.clone();
         Frame {
-            relay_status: word.map(|word| RelayStatus { since, ..word }),
-            configuration: published.filter(|published| published.version > extent.version),
+            relay_status: status.map(|status| RelayStatus { since, ..status }),
+            configuration: published.filter(|published| published.version > known.version),
             targets: match since {
                 Some(since) => self.targets.changes_after(since),
                 None => self.targets.all(),
@@ -246,10 +254,10 @@
     }
 }
 
-/// A word with no changes; it says nothing to those that lack any.
-fn bare(word: RelayStatus) -> Frame {
+/// Returns a frame with a status and no changes, which followers that lack any ignore.
+fn status_frame(status: RelayStatus) -> Frame {
     Frame {
-        relay_status: Some(word),
+        relay_status: Some(status),
         ..Frame::default()
     }
 }
--- a/crates/serving/tests/serving.rs
+++ b/crates/serving/tests/serving.rs
@@ -1,4 +1,4 @@
-//! The decisions of an entry instance, by the loads and the failures that they answer.
+//! The decisions of an entry instance, by the loads and the failures that each test guards against.
 
 #[path = "serving/engine_load.rs"]
 mod engine_load;
