--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -121,7 +121,7 @@
             reason: message,
             retry_after_ms,
             fingerprint: context.fingerprint_text(),
-            weighed: refusal.weighed(),
+            weighed: refusal.inputs(),
         });
         Self::own(answer, 503, message, retry_after_ms).await
     }
@@ -214,7 +214,7 @@
     };
     let ended = serve(state, stream, input, &context, answer).await;
     if ended.is_success() {
-        state.serving().served(context.fingerprint);
+        state.serving().record_served(context.fingerprint);
     }
     ended
 }
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -142,7 +142,7 @@
 
     fn told(&self, revision: u64) {
         let now = self.state.now();
-        self.state.serving().store_told(now, revision);
+        self.state.serving().mark_complete_at(now, revision);
     }
 
     /// Reads all that is published. Returns the revision from which a watch goes on.
@@ -172,7 +172,7 @@
         let now = self.state.now();
         self.state
             .serving()
-            .targets_published(now, reading.revision, reading.targets);
+            .apply_store_snapshot(now, reading.revision, reading.targets);
         self.state.note_published();
         Ok(reading.revision)
     }
@@ -240,7 +240,7 @@
     fn note_rechecked(&mut self) {
         if std::mem::take(&mut self.is_doubtful) {
             let now = self.state.now();
-            self.reads_anew = self.state.serving().is_behind(now);
+            self.reads_anew = self.state.serving().is_lagging(now);
         }
     }
 
@@ -303,7 +303,7 @@
 async fn until_behind(state: &EntryState) {
     loop {
         state.clock.sleep(BEHIND_LOOK_MS).await;
-        if state.serving().is_behind(state.now()) {
+        if state.serving().is_lagging(state.now()) {
             return;
         }
     }
--- a/crates/serving/benches/placement.rs
+++ b/crates/serving/benches/placement.rs
@@ -9,7 +9,7 @@
 
 use {
     criterion::{BenchmarkId, Criterion, criterion_group, criterion_main},
-    fixture::{GROUP, START, ask, instance, place},
+    fixture::{GROUP, START, instance, place, prompt_request},
     std::hint::black_box,
     whinlatch_serving::Serving,
 };
@@ -31,7 +31,7 @@
     let mut serving = instance(1, engines);
     for _ in 0..engines * SHORT_PER_ENGINE {
         if let Ok(placed) = place(&mut serving, START, 5_000) {
-            serving.prompt_begun(START, placed.job);
+            serving.record_first_event(START, placed.job);
         }
     }
     serving
@@ -42,13 +42,15 @@
     for engines in ENGINES {
         for (name, tokens) in [("short", 5_000), ("long", 180_000)] {
             let id = BenchmarkId::new(name, engines);
-            let ask = ask(tokens);
+            let request = prompt_request(tokens);
             let mut serving = busy_instance(engines);
             group.bench_function(id, |bencher| {
                 bencher.iter(|| {
-                    let job = serving.may_place(START + 100, &ask).expect("no poison");
-                    let placed = serving.choose_engines(START + 100, job, GROUP, &ask);
-                    serving.prompt_ended(job);
+                    let job = serving
+                        .admit_prompt(START + 100, &request)
+                        .expect("no poison");
+                    let placed = serving.choose_engines(START + 100, job, GROUP, &request);
+                    serving.record_prompt_ended(job);
                     black_box(placed)
                 });
             });
