--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,4 +1,4 @@
-//! The core: owns the aggregates and passes events to them.
+//! State of the core, and dispatch of events to their handlers, one module for each kind of event.
 
 mod links;
 mod on_attempt;
@@ -36,7 +36,7 @@
         routing::Router,
         time::MonoMs,
     },
-    links::Wanted,
+    links::WantedLinks,
     whinlatch_wire::{
         caller::{Outcome, OutcomeKind, Reason},
         ids::{AttemptId, RequestId, TargetName},
@@ -44,17 +44,17 @@
     },
 };
 
-/// All control state of one daemon.
+/// Complete control state of one daemon.
 #[derive(Debug)]
 pub struct Core {
     options: CoreOptions,
-    started: MonoMs,
-    last_event: MonoMs,
+    started_at: MonoMs,
+    last_event_at: MonoMs,
     leaving_since: Option<MonoMs>,
     stopped: bool,
     refresh: Option<ResumeRefresh>,
-    next_orders: MonoMs,
-    next_sweep: MonoMs,
+    next_orders_at: MonoMs,
+    next_eviction_at: MonoMs,
     rng: fastrand::Rng,
     records: RecordStore,
     members: Members,
@@ -62,62 +62,63 @@
     links: Links,
     pulls: RecordPulls,
     platform: PlatformReader,
-    list: Option<InstanceList>,
-    wanted: Wanted,
+    instance_list: Option<InstanceList>,
+    wanted_links: WantedLinks,
     router: Router,
     groups: Groups,
     requests: RequestTable,
     tickets: TicketTable,
     retries: RetryBudget,
     poison: PoisonTracker,
-    holdings: LeakDetector,
-    orderer: OrderPlanner,
-    book: DecisionHistory,
-    untold: Vec<TargetName>,
-    load_number: u64,
-    restated: MonoMs,
+    leak_detector: LeakDetector,
+    order_planner: OrderPlanner,
+    decision_history: DecisionHistory,
+    /// Targets whose load by this daemon has changed since it was last sent to peers.
+    unsent_loads: Vec<TargetName>,
+    last_load_number: u64,
+    loads_sent_at: MonoMs,
     actions: Vec<Action>,
 }
 
 impl Core {
-    /// State of a daemon that has just started.
+    /// Creates the state of a daemon that starts at `now`: no records, no known peers or targets.
     pub fn new(now: MonoMs, options: CoreOptions) -> Self {
         let mut rng = fastrand::Rng::with_seed(options.seed);
         Self {
-            started: now,
-            last_event: now,
+            started_at: now,
+            last_event_at: now,
             leaving_since: None,
             stopped: false,
             refresh: None,
-            next_orders: now,
-            next_sweep: now,
+            next_orders_at: now,
+            next_eviction_at: now,
             records: RecordStore::default(),
             members: Members::new(options.as_news()),
             targets: Targets::default(),
             links: Links::default(),
             pulls: RecordPulls::default(),
             platform: PlatformReader::new(now),
-            list: None,
-            wanted: Wanted::default(),
+            instance_list: None,
+            wanted_links: WantedLinks::default(),
             router: Router::default(),
             groups: Groups::default(),
             requests: RequestTable::default(),
             tickets: TicketTable::new(options.incarnation, rng.u64(..)),
             retries: RetryBudget::default(),
             poison: PoisonTracker::default(),
-            holdings: LeakDetector::default(),
-            orderer: OrderPlanner::default(),
+            leak_detector: LeakDetector::default(),
+            order_planner: OrderPlanner::default(),
             rng,
-            book: DecisionHistory::default(),
-            untold: Vec::new(),
-            load_number: 0,
-            restated: now,
+            decision_history: DecisionHistory::default(),
+            unsent_loads: Vec::new(),
+            last_load_number: 0,
+            loads_sent_at: now,
             actions: Vec::new(),
             options,
         }
     }
 
-    /// Takes in an event and returns what is to be done, in order.
+    /// Handles an event and returns the actions to carry out, in order.
     pub fn handle(&mut self, now: MonoMs, event: Event) -> Vec<Action> {
         self.advance(now);
         match event {
@@ -133,15 +134,15 @@
             Event::Target { target, event } => self.on_target(now, &target, event),
             Event::Stop => self.on_stop(now),
         }
-        self.tell_loads(now);
+        self.send_loads(now);
         std::mem::take(&mut self.actions)
     }
 
-    fn act(&mut self, action: Action) {
+    fn emit(&mut self, action: Action) {
         self.actions.push(action);
     }
 
-    fn decide(
+    fn record_decision(
         &mut self,
         now: MonoMs,
         subsystem: Subsystem,
@@ -153,11 +154,11 @@
             request,
             text,
         };
-        self.book.record(now, &decision);
-        self.act(Action::Decided(decision));
+        self.decision_history.record(now, &decision);
+        self.emit(Action::Decided(decision));
     }
 
-    fn draw_attempt(&mut self) -> AttemptId {
+    fn random_attempt_id(&mut self) -> AttemptId {
         AttemptId(self.rng.u128(..))
     }
 
--- a/crates/core/src/core/links.rs
+++ b/crates/core/src/core/links.rs
@@ -1,4 +1,4 @@
-//! Which links there are to be, and the end of those that fell silent or aren't wanted.
+//! Links to peers: which ones to open, and closing of those that are silent or no longer wanted.
 
 use {
     super::Core,
@@ -18,82 +18,83 @@
     },
 };
 
-/// Time between two looks at which links there are to be, in ms.
-const REFRESH_MS: u64 = 1_000;
-/// Time for which one of the daemons outside the ring is tried, in ms.
-const PROBE_MS: u64 = 5_000;
+/// Interval at which the wanted links are recomputed, in ms.
+const WANTED_REFRESH_INTERVAL_MS: u64 = 1_000;
+/// Interval after which the next suspected daemon is probed, in ms.
+const PROBE_INTERVAL_MS: u64 = 5_000;
 
-/// The links that there are to be.
+/// Peers to which links should be open.
 #[derive(Debug, Default)]
-pub(super) struct Wanted {
+pub(super) struct WantedLinks {
     addresses: BTreeSet<SocketAddr>,
     ring: RingLinks,
-    refreshed: Option<MonoMs>,
+    refreshed_at: Option<MonoMs>,
 }
 
-/// The links on the ring, kept until the ring changes: working them out weighs each daemon against
-/// each.
+/// This daemon's links on the ring, cached until the ring changes, since computing them compares each
+/// daemon with each other.
 #[derive(Debug, Default)]
 struct RingLinks {
-    places: BTreeMap<SocketAddr, FailureDomain>,
+    nodes: BTreeMap<SocketAddr, FailureDomain>,
     links: BTreeSet<SocketAddr>,
 }
 
 impl RingLinks {
-    fn follow(&mut self, own: &RingNode, places: BTreeMap<SocketAddr, FailureDomain>) {
-        if self.places == places {
+    fn update(&mut self, own: &RingNode, nodes: BTreeMap<SocketAddr, FailureDomain>) {
+        if self.nodes == nodes {
             return;
         }
-        let others = places
+        let others = nodes
             .iter()
             .map(|(address, domain)| RingNode::new(*address, domain));
         self.links = Ring::new(others.chain([own.clone()])).linked_with(own);
-        self.places = places;
+        self.nodes = nodes;
     }
 }
 
-impl Wanted {
+impl WantedLinks {
     pub(super) fn contains(&self, address: SocketAddr) -> bool {
         self.addresses.contains(&address)
     }
 }
 
 impl Core {
-    pub(super) fn open_links(&mut self, now: MonoMs) {
-        self.notice_pause(now);
-        self.renew_silent_links(now);
+    pub(super) fn update_links(&mut self, now: MonoMs) {
+        self.detect_pause(now);
+        self.close_silent_links(now);
         let due = self
-            .wanted
-            .refreshed
-            .is_none_or(|at| now.since(at) >= REFRESH_MS);
+            .wanted_links
+            .refreshed_at
+            .is_none_or(|at| now.since(at) >= WANTED_REFRESH_INTERVAL_MS);
         if due {
-            self.wanted.addresses = self.wanted_links(now);
-            self.wanted.refreshed = Some(now);
-            for peer in self.links.excess_links(now, &self.wanted.addresses) {
+            self.wanted_links.addresses = self.compute_wanted_links(now);
+            self.wanted_links.refreshed_at = Some(now);
+            for peer in self.links.excess_links(now, &self.wanted_links.addresses) {
                 self.close_link(peer, true);
             }
         }
         let own = self.options.peer_address;
         for address in self
             .links
-            .addresses_to_open(now, own, &self.wanted.addresses)
+            .addresses_to_open(now, own, &self.wanted_links.addresses)
         {
-            self.act(Action::Link { address });
+            self.emit(Action::Link { address });
         }
     }
 
-    /// A daemon that was paused has heard nobody. It wakes with a view in which all others are
-    /// silent, would cut its links and tell that they are dead; so it doubts itself first.
-    pub(super) fn notice_pause(&mut self, now: MonoMs) {
+    /// Detects a pause of this process, and then restarts the silence timeouts of all peers.
+    ///
+    /// Guards against false reports after a pause: a paused process receives nothing, so all peers look
+    /// silent when it resumes, and it would close its links and report live daemons as dead.
+    pub(super) fn detect_pause(&mut self, now: MonoMs) {
         if self.members.detect_pause(now) {
             self.members.on_process_resumed(now);
             self.links.reset_silence(now);
         }
     }
 
-    /// Closes links that fell silent; they are opened afresh, and only if that fails too is the
-    /// peer suspected.
-    fn renew_silent_links(&mut self, now: MonoMs) {
+    /// Closes silent links and reopens them. A peer is suspected only if that fails too.
+    fn close_silent_links(&mut self, now: MonoMs) {
         for peer in self.links.silent_peers(now) {
             let address = self
                 .members
@@ -106,60 +107,61 @@
         }
     }
 
-    fn close_link(&mut self, peer: Incarnation, on_purpose: bool) {
+    fn close_link(&mut self, peer: Incarnation, intended: bool) {
         self.links.on_closed(Some(peer));
-        self.members.on_link_closed(peer, on_purpose);
+        self.members.on_link_closed(peer, intended);
         self.pulls.on_link_closed(peer);
-        self.act(Action::Unlink { peer });
+        self.emit(Action::Unlink { peer });
     }
 
-    fn wanted_links(&mut self, now: MonoMs) -> BTreeSet<SocketAddr> {
+    fn compute_wanted_links(&mut self, now: MonoMs) -> BTreeSet<SocketAddr> {
         let own = RingNode::new(self.options.peer_address, &self.options.failure_domain);
-        let (sure, doubtful) = self.places();
-        let small = sure.len() + doubtful.len() < MAX_FULL_MESH_DAEMONS;
-        let mut wanted = if small {
-            sure.keys().chain(doubtful.iter()).copied().collect()
+        let (live, suspected) = self.peer_addresses();
+        let full_mesh = live.len() + suspected.len() < MAX_FULL_MESH_DAEMONS;
+        let mut wanted = if full_mesh {
+            live.keys().chain(suspected.iter()).copied().collect()
         } else {
-            self.wanted.ring.follow(&own, sure);
-            let mut wanted = self.wanted.ring.links.clone();
-            // Suspected daemons have no place on the ring. One at a time is tried, so that the
-            // sides of a partition find each other when it ends.
-            let turn = (now.0 / PROBE_MS) as usize;
-            let probe = turn.checked_rem(doubtful.len());
-            wanted.extend(probe.and_then(|turn| doubtful.iter().nth(turn)));
+            self.wanted_links.ring.update(&own, live);
+            let mut wanted = self.wanted_links.ring.links.clone();
+            // Suspected daemons aren't on the ring. They are probed one at a time, so that the sides of
+            // a network partition find each other when it ends.
+            let turn = (now.0 / PROBE_INTERVAL_MS) as usize;
+            let probe = turn.checked_rem(suspected.len());
+            wanted.extend(probe.and_then(|turn| suspected.iter().nth(turn)));
             wanted
         };
-        if small || self.links.is_empty() {
+        if full_mesh || self.links.is_empty() {
             wanted.extend(&self.options.seed_peers);
         }
         wanted.remove(&own.address);
         wanted
     }
 
-    /// Addresses at which daemons are held to serve, and those at which one may.
-    fn places(&self) -> (BTreeMap<SocketAddr, FailureDomain>, BTreeSet<SocketAddr>) {
-        let mut sure: BTreeMap<SocketAddr, FailureDomain> = BTreeMap::new();
-        let listed = self.list.iter().flat_map(|list| &list.daemons);
+    /// Returns the addresses of daemons that are considered live, with their failure domains, and the
+    /// addresses of suspected ones.
+    fn peer_addresses(&self) -> (BTreeMap<SocketAddr, FailureDomain>, BTreeSet<SocketAddr>) {
+        let mut live: BTreeMap<SocketAddr, FailureDomain> = BTreeMap::new();
+        let listed = self.instance_list.iter().flat_map(|list| &list.daemons);
         for daemon in listed.filter(|daemon| daemon.state == ListedState::Live) {
-            sure.insert(daemon.peer_address, daemon.failure_domain.clone());
+            live.insert(daemon.peer_address, daemon.failure_domain.clone());
         }
-        let mut doubtful = BTreeSet::new();
+        let mut suspected = BTreeSet::new();
         for member in self.members.iter() {
             let address = member.news.peer_address;
             match member.news.state {
                 MemberState::Suspect => {
-                    sure.remove(&address);
-                    doubtful.insert(address);
+                    live.remove(&address);
+                    suspected.insert(address);
                 }
                 MemberState::Alive | MemberState::Leaving | MemberState::Dead => {}
             }
         }
-        // Last, since a new run may serve at the address of one that is suspected or dead.
+        // Live members come last, since a new run may use the address of a suspected or dead one.
         for member in self.members.alive() {
-            sure.insert(member.news.peer_address, member.domain().clone());
-            doubtful.remove(&member.news.peer_address);
+            live.insert(member.news.peer_address, member.domain().clone());
+            suspected.remove(&member.news.peer_address);
         }
-        sure.remove(&self.options.peer_address);
-        (sure, doubtful)
+        live.remove(&self.options.peer_address);
+        (live, suspected)
     }
 }
--- a/crates/core/src/core/on_attempt.rs
+++ b/crates/core/src/core/on_attempt.rs
@@ -1,4 +1,5 @@
-//! What becomes of attempts: the answer, another attempt, or a truthful failure.
+//! Progress and end of attempts: the request completes, is retried, or fails with an outcome that doesn't
+//! claim more than is known.
 
 use {
     super::Core,
@@ -17,20 +18,20 @@
     },
 };
 
-/// Attempts of one request, the first included.
+/// Maximum number of attempts of one request, including the first.
 const MAX_ATTEMPTS: usize = 3;
-/// When a caller is told to come back after a failure that may pass, in ms.
+/// Delay after which a caller may retry after a transient failure, in ms.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 impl Core {
     pub(super) fn on_attempt(&mut self, now: MonoMs, attempt: AttemptId, event: AttemptEvent) {
-        // An attempt that is over has no request any more, and its late events end here.
+        // Late events of an attempt that has ended are ignored.
         let Some(request) = self.requests.of_attempt(attempt) else {
             return;
         };
         match event {
             AttemptEvent::FirstChunk => {
-                self.note_read(now, request, attempt);
+                self.record_first_token(now, request, attempt);
                 self.requests.mark_first_chunk(request);
             }
             AttemptEvent::Completed => self.on_completed(now, request, attempt),
@@ -41,24 +42,29 @@
             AttemptEvent::Refused(refusal) if refusal.attempt == attempt => {
                 self.on_refused(now, request, &refusal);
             }
-            // Guards against answers that cross on a reused connection: this refusal says nothing
-            // of the attempt that is in flight here, nor may it end the one that it names.
+            // Guards against answers that are mixed up on a reused connection. This refusal proves
+            // nothing about the attempt in flight here, and mustn't end the one that it names.
             AttemptEvent::Refused(_) => {
                 self.stop_attempt(attempt);
                 self.try_again(
                     now,
                     request,
                     Reason::TargetFailed,
-                    "the answer was not its own",
+                    "the target answered for another attempt",
                 );
             }
             AttemptEvent::Broken { .. } => {
-                self.broke_off(now, attempt);
+                self.record_broken_attempt(now, attempt);
                 self.end_attempt(attempt, AttemptEnd::MayHaveRun);
-                self.try_again(now, request, Reason::TargetLost, "the target broke off");
+                self.try_again(
+                    now,
+                    request,
+                    Reason::TargetLost,
+                    "the connection to the target broke",
+                );
             }
             AttemptEvent::Silent { .. } => {
-                self.broke_off(now, attempt);
+                self.record_broken_attempt(now, attempt);
                 self.stop_attempt(attempt);
                 self.try_again(now, request, Reason::TargetSilent, "the target is silent");
             }
@@ -72,25 +78,30 @@
 
     fn on_completed(&mut self, now: MonoMs, request: RequestId, attempt: AttemptId) {
         self.end_attempt(attempt, AttemptEnd::MayHaveRun);
-        self.absolve(request);
-        let message = "the answer is whole";
+        self.clear_suspicion(request);
+        let message = "the answer is complete";
         let kind = OutcomeKind::Completed;
         self.finish(now, request, kind, Reason::Done, message, None);
     }
 
     fn on_refused(&mut self, now: MonoMs, request: RequestId, refusal: &Refusal) {
-        let Some(flight) = self.end_attempt(refusal.attempt, end_of(refusal.reason)) else {
+        let Some(in_flight) = self.end_attempt(refusal.attempt, attempt_end(refusal.reason)) else {
             return;
         };
         let health = TargetHealth::Leaving;
         if refusal.reason == RefusalReason::Leaving
             && self
                 .targets
-                .worsen_health(&flight.target, flight.incarnation, health)
+                .worsen_health(&in_flight.target, in_flight.incarnation, health)
         {
-            self.leaves(now, &flight.target, flight.incarnation, "its refusal");
+            self.announce_leaving(
+                now,
+                &in_flight.target,
+                in_flight.incarnation,
+                "its refusal of an attempt",
+            );
         }
-        let (reason, message) = told_of(refusal.reason);
+        let (reason, message) = caller_reason(refusal.reason);
         self.try_again(now, request, reason, message);
     }
 
@@ -99,27 +110,27 @@
         attempt: AttemptId,
         end: AttemptEnd,
     ) -> Option<InFlightAttempt> {
-        let flight = self.requests.end_attempt(attempt, end)?;
-        self.left_target(&flight);
-        Some(flight)
+        let in_flight = self.requests.end_attempt(attempt, end)?;
+        self.remove_from_target(&in_flight);
+        Some(in_flight)
     }
 
-    /// Ends an attempt that may go on at its target, and cancels it there.
+    /// Ends an attempt that may still be running at its target, and cancels it there.
     pub(super) fn stop_attempt(&mut self, attempt: AttemptId) {
-        if let Some(flight) = self.end_attempt(attempt, AttemptEnd::MayHaveRun) {
-            self.cancel(&flight);
+        if let Some(in_flight) = self.end_attempt(attempt, AttemptEnd::MayHaveRun) {
+            self.cancel(&in_flight);
         }
     }
 
-    fn left_target(&mut self, flight: &InFlightAttempt) {
-        self.forget_load(flight);
-        if let Some(state) = self.targets.get_mut(&flight.target) {
+    fn remove_from_target(&mut self, in_flight: &InFlightAttempt) {
+        self.remove_load(in_flight);
+        if let Some(state) = self.targets.get_mut(&in_flight.target) {
             state.in_flight = state.in_flight.saturating_sub(1);
         }
     }
 
-    /// Routes the request once more if that is safe and within the budget, else ends it with the
-    /// reason of its last failure.
+    /// Routes the request again if it may be dispatched, has attempts left and the retry budget allows it.
+    /// Otherwise ends it with the reason of its last failure.
     pub(super) fn try_again(
         &mut self,
         now: MonoMs,
@@ -139,13 +150,13 @@
             .retries
             .try_take(now, &entry.submission.account, per_mille)
         {
-            let text = "not tried again: the retry budget is spent".to_owned();
-            self.decide(now, Subsystem::Requests, Some(request), text);
+            let text = "not retried: the retry budget is spent".to_owned();
+            self.record_decision(now, Subsystem::Requests, Some(request), text);
             self.give_up(now, request, reason, message);
             return;
         }
-        let text = format!("tried again: {message}");
-        self.decide(now, Subsystem::Requests, Some(request), text);
+        let text = format!("retried: {message}");
+        self.record_decision(now, Subsystem::Requests, Some(request), text);
         self.route(now, request);
     }
 
@@ -153,19 +164,19 @@
         let Some(entry) = self.requests.get(request) else {
             return;
         };
-        // A run that can't be had again isn't thrown away: its caller, or the one who passed it
-        // on, asks again with the ticket and gets the outcome.
+        // A request that must not run twice isn't cancelled while it runs: its caller, or the daemon
+        // that forwarded it, can retry with the ticket and gets the outcome.
         let runs_once = !entry.idempotent && entry.in_flight_attempt().is_some();
         if runs_once {
             self.requests.mark_caller_gone(request);
-            let text = "the caller went away, the run goes on".to_owned();
-            self.decide(now, Subsystem::Requests, Some(request), text);
+            let text = "the caller disconnected; the attempt continues".to_owned();
+            self.record_decision(now, Subsystem::Requests, Some(request), text);
             return;
         }
-        self.give_up(now, request, Reason::CallerGone, "the caller went away");
+        self.give_up(now, request, Reason::CallerGone, "the caller disconnected");
     }
 
-    /// Ends a request that has no whole answer, and cancels what is in flight.
+    /// Ends a request without a complete answer, and cancels its attempt in flight.
     pub(super) fn give_up(
         &mut self,
         now: MonoMs,
@@ -176,66 +187,67 @@
         let Some(entry) = self.requests.get(request) else {
             return;
         };
-        let kind = self.kind_now(request);
+        let kind = self.current_outcome_kind(request);
         let repeat =
-            kind == OutcomeKind::NotRun || entry.idempotent || may_ask_again(entry.phase());
+            kind == OutcomeKind::NotRun || entry.idempotent || may_retry_for_outcome(entry.phase());
         let retry_after_ms = retry_after_ms(reason).filter(|_| repeat);
-        if let Some(flight) = entry.in_flight_attempt().cloned() {
-            self.cancel(&flight);
+        if let Some(in_flight) = entry.in_flight_attempt().cloned() {
+            self.cancel(&in_flight);
         }
         self.finish(now, request, kind, reason, message, retry_after_ms);
     }
 
-    /// What may be said of a request that gets no further attempt.
-    pub(super) fn kind_now(&self, request: RequestId) -> OutcomeKind {
+    /// Returns the outcome of a request that ends now without an answer: `Unknown` if a target may have run
+    /// it, else `NotRun`.
+    pub(super) fn current_outcome_kind(&self, request: RequestId) -> OutcomeKind {
         match self.requests.get(request) {
             Some(entry) if entry.may_have_run() => OutcomeKind::Unknown,
             _ => OutcomeKind::NotRun,
         }
     }
 
-    /// Stops an attempt here and at its target.
-    pub(super) fn cancel(&mut self, flight: &InFlightAttempt) {
-        self.act(Action::Abandon {
-            attempt: flight.attempt,
+    /// Stops reading an attempt's answer and cancels the attempt at its target.
+    pub(super) fn cancel(&mut self, in_flight: &InFlightAttempt) {
+        self.emit(Action::Abandon {
+            attempt: in_flight.attempt,
         });
-        let Some(state) = self.targets.get(&flight.target) else {
+        let Some(state) = self.targets.get(&in_flight.target) else {
             return;
         };
         let address = state.address;
         let cancel = CancelRequest {
-            attempt: flight.attempt,
+            attempt: in_flight.attempt,
         };
-        self.act(Action::Call {
-            target: flight.target.clone(),
+        self.emit(Action::Call {
+            target: in_flight.target.clone(),
             address,
             call: TargetCall::Cancel(cancel),
         });
     }
 
-    /// Ends a request with its final answer, and those that wait for its outcome.
+    /// Ends a request with its final outcome, and answers the requests that wait for it.
     pub(super) fn finish_with(&mut self, now: MonoMs, outcome: &Outcome) {
         self.release_group(outcome.request);
         let entry = self.requests.remove(outcome.request);
-        if let Some(flight) = entry.as_ref().and_then(|entry| entry.in_flight_attempt()) {
-            self.left_target(flight);
+        if let Some(in_flight) = entry.as_ref().and_then(|entry| entry.in_flight_attempt()) {
+            self.remove_from_target(in_flight);
         }
-        self.book.set_outcome(outcome);
+        self.decision_history.set_outcome(outcome);
         let text = format!("ended {}: {}", outcome.outcome, outcome.message);
-        self.decide(now, Subsystem::Requests, Some(outcome.request), text);
-        self.act(Action::Finish(outcome.clone()));
+        self.record_decision(now, Subsystem::Requests, Some(outcome.request), text);
+        self.emit(Action::Finish(outcome.clone()));
         if let Some(entry) = entry {
-            self.settle_ticket(now, &entry, outcome);
+            self.record_ticket_outcome(now, &entry, outcome);
         }
     }
 }
 
-/// What a refusal says of the run.
+/// Returns whether a refused attempt may have run.
 ///
-/// Guards against `not_run` being said of what an earlier run of the target ran: where an attempt
-/// arrives twice, as over a second connection after silence, the target may have run the first copy
-/// and died; its new run refuses the second and knows nothing of the first.
-fn end_of(refusal: RefusalReason) -> AttemptEnd {
+/// Guards against reporting `not_run` for an attempt that an earlier run of the target ran. If an
+/// attempt arrives twice, for example over a second connection after silence, the target may have run
+/// the first copy and died; its new run refuses the second copy without knowing of the first.
+fn attempt_end(refusal: RefusalReason) -> AttemptEnd {
     match refusal {
         RefusalReason::OtherIncarnation => AttemptEnd::MayHaveRun,
         RefusalReason::Full
@@ -246,20 +258,30 @@
     }
 }
 
-/// What the caller is told if no target takes the request.
-fn told_of(refusal: RefusalReason) -> (Reason, &'static str) {
+/// Returns the reason and message that the caller receives if no target accepts the request.
+fn caller_reason(refusal: RefusalReason) -> (Reason, &'static str) {
     match refusal {
         RefusalReason::Full => (Reason::FleetFull, "the target is full"),
-        RefusalReason::Leaving => (Reason::NoTarget, "the target is about to leave"),
+        RefusalReason::Leaving => (Reason::NoTarget, "the target is leaving"),
         RefusalReason::OtherIncarnation => (Reason::NoTarget, "the target has restarted"),
-        RefusalReason::NotLoaded => (Reason::NoTarget, "the target has not loaded it"),
-        RefusalReason::Expired => (Reason::DeadlineReached, "the time was over at the target"),
-        RefusalReason::Invalid => (Reason::BadRequest, "the target finds the request invalid"),
+        RefusalReason::NotLoaded => (
+            Reason::NoTarget,
+            "the target has not loaded the model or adapter",
+        ),
+        RefusalReason::Expired => (
+            Reason::DeadlineReached,
+            "the deadline had passed at the target",
+        ),
+        RefusalReason::Invalid => (
+            Reason::BadRequest,
+            "the target rejected the request as invalid",
+        ),
     }
 }
 
-/// Whether asking again helps though the outcome is not known: what runs may still be had.
-fn may_ask_again(phase: &Phase) -> bool {
+/// Returns whether the caller should retry although the outcome is unknown: the request may be running
+/// under its ticket, and a retry gets that outcome.
+fn may_retry_for_outcome(phase: &Phase) -> bool {
     matches!(phase, Phase::Attached | Phase::Forwarded)
 }
 
--- a/crates/core/src/core/on_group.rs
+++ b/crates/core/src/core/on_group.rs
@@ -1,4 +1,5 @@
-//! Groups of engines: acquired all or none, renewed while they are used, always given back.
+//! Groups of engines for long prompts: reserved all or none, renewed while in use, and released at every
+//! end of the request.
 
 use {
     super::Core,
@@ -21,79 +22,88 @@
     },
 };
 
-/// How much earlier a prompt is ranked for each ms that it takes to read, where only the first token
-/// of long prompts counts.
-const LONGEST_FIRST: f64 = 0.0;
-/// Longest time before a group is tried again, in ms, doubled with each try up to the cap.
-const BACK_OFF_MS: u64 = 50;
-/// Cap of that time, in ms.
+/// Time in ms by which a long prompt is ranked earlier for each ms that it takes to read, multiplied by the
+/// policy's `long_first_token_weight`. At 0, prompts are ranked by acceptance alone.
+const RANK_ADVANCE_PER_READ_MS: f64 = 0.0;
+/// Maximum delay before the first retry to reserve a group, in ms. It doubles with each failed attempt up
+/// to [`MAX_BACK_OFF_MS`].
+const INITIAL_BACK_OFF_MS: u64 = 50;
+/// Maximum delay before any retry to reserve a group, in ms.
 const MAX_BACK_OFF_MS: u64 = 400;
-/// When a caller is told to come back if too few engines are live, in ms.
+/// Delay after which a caller may retry if too few engines are live, in ms.
 const NONE_LIVE_RETRY_MS: u64 = 5_000;
 
 impl Core {
-    /// Chooses engines for a long prompt. Asks for them if their turn has come, else claims them.
-    pub(super) fn place(&mut self, now: MonoMs, request: RequestId) {
-        let avoided = self.to_avoid(now, request);
-        let alone = self.runs_alone(now, request);
-        let Some(mut group) = self.take_group(now, request) else {
+    /// Chooses engines for a long prompt and queues it there. Reserves the engines if the prompt can start
+    /// immediately, otherwise schedules a retry.
+    pub(super) fn place_on_engines(&mut self, now: MonoMs, request: RequestId) {
+        let avoided = self.avoided_targets(now, request);
+        let alone = self.must_run_alone(now, request);
+        let Some(mut group) = self.take_released_group(now, request) else {
             return;
         };
         let Some(entry) = self.requests.get(request) else {
             return;
         };
         let policy = self.records.in_force().policy();
-        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &avoided, policy)
-            .alone(alone);
-        let scene = RoutingContext {
+        let routing_request =
+            RoutingRequest::new(&entry.submission.work, &entry.route, &avoided, policy)
+                .alone(alone);
+        let context = RoutingContext {
             now,
             in_force: self.records.in_force(),
             targets: &self.targets,
             daemons: self.members.alive().count() + 1,
         };
-        let waiter = WaitingPrompt {
-            since: self.rank_of(entry),
+        let waiting = WaitingPrompt {
+            since: self.queued_since(entry),
             claim: group.claim,
         };
-        let chosen = self
-            .router
-            .choose_group(&scene, &ask, waiter, group.provider, &mut self.rng);
+        let chosen = self.router.choose_group(
+            &context,
+            &routing_request,
+            waiting,
+            group.provider,
+            &mut self.rng,
+        );
         match chosen {
             Ok(chosen) => {
-                self.claim(now, request, &mut group, waiter, &chosen);
+                self.queue_at_engines(now, request, &mut group, waiting, &chosen);
                 if chosen.starts_now {
                     self.acquire(now, request, group, chosen);
                 } else {
-                    self.wait(now, request, group);
+                    self.schedule_retry(now, request, group);
                 }
             }
             Err(GroupError::NoneLive) => {
                 let message = GroupError::NoneLive.to_string();
                 let retry = Some(NONE_LIVE_RETRY_MS);
-                let kind = self.kind_now(request);
-                self.unclaim(&group);
+                let kind = self.current_outcome_kind(request);
+                self.remove_from_queues(&group);
                 self.finish(now, request, kind, Reason::NoTarget, &message, retry);
             }
             Err(GroupError::TooLong) => {
-                self.unclaim(&group);
+                self.remove_from_queues(&group);
                 let message = GroupError::TooLong.to_string();
                 self.give_up(now, request, Reason::PromptTooLong, &message);
             }
         }
     }
 
-    /// The moment that a long prompt's place in the order of waiters goes by. The longer it takes to
-    /// read, the earlier that moment, since its place among the others costs them least.
-    fn rank_of(&self, entry: &Request) -> MonoMs {
+    /// Returns the time by which a long prompt is ranked among the waiting ones, earliest first. The
+    /// longer a prompt takes to read, the earlier its rank, since its position costs the others least.
+    fn queued_since(&self, entry: &Request) -> MonoMs {
         let policy = self.records.in_force().policy();
-        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
-        let read_ms = ask.prompt_tokens() as f64 * 0.05;
-        let ahead_ms = read_ms * LONGEST_FIRST * policy.long_first_token_weight;
+        let routing_request =
+            RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let read_ms = routing_request.prompt_tokens() as f64 * 0.05;
+        let ahead_ms = read_ms * RANK_ADVANCE_PER_READ_MS * policy.long_first_token_weight;
         MonoMs(entry.accepted.0.saturating_sub(ahead_ms as u64))
     }
 
-    /// The request's group with nothing held, or a new one with the provider drawn.
-    fn take_group(&mut self, now: MonoMs, request: RequestId) -> Option<Group> {
+    /// Removes the request's group and releases its reservations, or creates a group with a provider drawn
+    /// at random. `None` if the request has ended.
+    fn take_released_group(&mut self, now: MonoMs, request: RequestId) -> Option<Group> {
         if let Some(group) = self.groups.remove(request) {
             self.release_parts(&group);
             return Some(Group {
@@ -102,35 +112,36 @@
                 ..group
             });
         }
-        let claim = self.draw_attempt();
+        let claim = self.random_attempt_id();
         let entry = self.requests.get(request)?;
         let policy = self.records.in_force().policy();
-        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
-        let provider = self.router.draw_provider(&ask, &mut self.rng);
+        let routing_request =
+            RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let provider = self.router.draw_provider(&routing_request, &mut self.rng);
         Some(Group::new(now, claim, provider))
     }
 
-    /// Claims the engines that were chosen and no others.
-    fn claim(
+    /// Queues the prompt at the chosen engines and removes it from the queues of all others.
+    fn queue_at_engines(
         &mut self,
         now: MonoMs,
         request: RequestId,
         group: &mut Group,
-        waiter: WaitingPrompt,
+        waiting: WaitingPrompt,
         chosen: &ChosenGroup,
     ) {
         if group.claimed != chosen.targets {
             let names: Vec<&str> = chosen.targets.iter().map(TargetName::as_str).collect();
             let names = names.join(", ");
-            let text = format!("claims {names}, free in {:.0} ms", chosen.wait_ms);
-            self.decide(now, Subsystem::Placement, Some(request), text);
-            self.unclaim(group);
-            self.untold.extend(chosen.targets.iter().cloned());
+            let text = format!("queued at {names}, free in {:.0} ms", chosen.wait_ms);
+            self.record_decision(now, Subsystem::Placement, Some(request), text);
+            self.remove_from_queues(group);
+            self.unsent_loads.extend(chosen.targets.iter().cloned());
             group.claimed.clone_from(&chosen.targets);
         }
         let claim = QueuedPrompt {
-            id: waiter.claim,
-            since: waiter.since,
+            id: waiting.claim,
+            since: waiting.since,
             read_ms: chosen.read_ms,
         };
         for target in &group.claimed {
@@ -140,25 +151,26 @@
         }
     }
 
-    fn unclaim(&mut self, group: &Group) {
+    fn remove_from_queues(&mut self, group: &Group) {
         for target in &group.claimed {
             let state = self.targets.get_mut(target);
             if state.is_some_and(|state| state.load.dequeue(group.claim)) {
-                self.untold.push(target.clone());
+                self.unsent_loads.push(target.clone());
             }
         }
     }
 
-    /// Tries again soon, with jitter so that daemons that collided don't do so again.
-    fn wait(&mut self, now: MonoMs, request: RequestId, mut group: Group) {
-        let full_ms = (BACK_OFF_MS << group.tries.min(8)).min(MAX_BACK_OFF_MS);
+    /// Schedules the next attempt to reserve the group. The jitter keeps daemons that collided at the same
+    /// engines from colliding again.
+    fn schedule_retry(&mut self, now: MonoMs, request: RequestId, mut group: Group) {
+        let full_ms = (INITIAL_BACK_OFF_MS << group.tries.min(8)).min(MAX_BACK_OFF_MS);
         let retry_at = now + self.rng.u64(full_ms / 2..=full_ms);
         group.state = GroupState::Waiting { retry_at };
         self.groups.insert(request, group);
     }
 
-    fn part(&mut self, target: TargetName) -> Option<Part> {
-        let reservation = self.draw_attempt();
+    fn new_part(&mut self, target: TargetName) -> Option<Part> {
+        let reservation = self.random_attempt_id();
         let state = self.targets.get(&target)?;
         Some(Part {
             address: state.address,
@@ -171,27 +183,27 @@
     fn acquire(&mut self, now: MonoMs, request: RequestId, mut group: Group, chosen: ChosenGroup) {
         let names: Vec<&str> = chosen.targets.iter().map(TargetName::as_str).collect();
         let text = format!(
-            "asks {} for {} tokens each, try {}",
+            "reserving at {}: {} tokens each, attempt {}",
             names.join(", "),
             chosen.part_tokens,
             group.tries + 1
         );
-        self.decide(now, Subsystem::Placement, Some(request), text);
+        self.record_decision(now, Subsystem::Placement, Some(request), text);
         group.part_tokens = chosen.part_tokens;
         group.parts = chosen
             .targets
             .into_iter()
-            .filter_map(|target| self.part(target))
+            .filter_map(|target| self.new_part(target))
             .collect();
         group.state = GroupState::Acquiring {
             next: 0,
             requested_at: now,
         };
         self.groups.insert(request, group);
-        self.ask_next(now, request);
+        self.reserve_next(now, request);
     }
 
-    fn ask_next(&mut self, now: MonoMs, request: RequestId) {
+    fn reserve_next(&mut self, now: MonoMs, request: RequestId) {
         let Some(group) = self.groups.get(request) else {
             return;
         };
@@ -201,14 +213,14 @@
         self.reserve(now, request, &part);
     }
 
-    /// Asks for a part or renews it. It isn't sent late, so that a daemon that was paused doesn't
-    /// take memory for a request that has ended meanwhile.
+    /// Requests or renews the reservation of a part. The request expires, so that a daemon that was paused
+    /// doesn't reserve memory for a request that has ended in the meantime.
     fn reserve(&mut self, now: MonoMs, request: RequestId, part: &Part) {
         let Some(group) = self.groups.get(request) else {
             return;
         };
         let reserve = group.reserve_request(part, self.options.incarnation);
-        self.act(Action::Call {
+        self.emit(Action::Call {
             target: part.target.clone(),
             address: part.address,
             call: TargetCall::Reserve {
@@ -220,7 +232,7 @@
 
     pub(super) fn on_reserved(&mut self, now: MonoMs, target: &TargetName, reservation: AttemptId) {
         let Some(request) = self.groups.of_reservation(reservation) else {
-            // The request ended, or the group was given up, while the engine answered.
+            // The request ended, or its group was released, before the engine's answer arrived.
             self.release(target, reservation);
             return;
         };
@@ -234,14 +246,14 @@
             return;
         }
         if group.advance(now) {
-            self.run_group(now, request);
+            self.dispatch_to_group(now, request);
         } else {
-            self.ask_next(now, request);
+            self.reserve_next(now, request);
         }
     }
 
-    /// Dispatches to the engine of the group that has the least to do.
-    fn run_group(&mut self, now: MonoMs, request: RequestId) {
+    /// Dispatches the prompt to the engine of the group with the shortest predicted wait.
+    fn dispatch_to_group(&mut self, now: MonoMs, request: RequestId) {
         if !self.may_route(now, request) {
             self.release_group(request);
             return;
@@ -253,33 +265,43 @@
             return;
         };
         let policy = self.records.in_force().policy();
-        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let routing_request =
+            RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let choices = group
             .parts
             .iter()
             .filter_map(|part| Some((part, self.targets.get(&part.target)?)))
-            .map(|(part, state)| predict_choice(now, state, &ask, &part.target, group.parts.len()));
+            .map(|(part, state)| {
+                predict_choice(
+                    now,
+                    state,
+                    &routing_request,
+                    &part.target,
+                    group.parts.len(),
+                )
+            });
         let leader = choices.min_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms));
         let Some(leader) = leader else {
             return;
         };
         let text = format!(
-            "{} engines are held; {} runs it",
+            "{} engines reserved; {} leads",
             group.parts.len(),
             leader.target
         );
-        self.decide(now, Subsystem::Placement, Some(request), text);
-        self.unclaim(&group);
+        self.record_decision(now, Subsystem::Placement, Some(request), text);
+        self.remove_from_queues(&group);
         self.dispatch(now, request, &leader);
     }
 
-    /// Gives the whole group back on the first refusal, so that no part waits for another.
+    /// Releases the whole group when one engine refuses or doesn't answer, so that no part stays reserved
+    /// while another is waited for.
     pub(super) fn on_not_reserved(
         &mut self,
         now: MonoMs,
         target: &TargetName,
         reservation: AttemptId,
-        says: &str,
+        cause: &str,
     ) {
         let Some(request) = self.groups.of_reservation(reservation) else {
             return;
@@ -287,46 +309,47 @@
         let Some(group) = self.groups.get(request) else {
             return;
         };
-        let text = format!("{target} {says}");
+        let text = format!("{target} {cause}");
         match group.state {
             GroupState::Held { .. } => self.on_part_lost(now, request, &text),
-            _ => self.put_off(now, request, &text),
+            _ => self.retry_later(now, request, &text),
         }
     }
 
-    /// A renewal failed: the engine was replaced or the hold ended, so the prompt can't be whole.
+    /// Stops the attempt of a group whose renewal failed: the engine was replaced or the reservation
+    /// expired, so the engine no longer has its part of the prompt.
     fn on_part_lost(&mut self, now: MonoMs, request: RequestId, text: &str) {
-        let flight = self
+        let in_flight = self
             .requests
             .get(request)
             .and_then(|e| e.in_flight_attempt());
-        let Some(attempt) = flight.map(|flight| flight.attempt) else {
-            self.place(now, request);
+        let Some(attempt) = in_flight.map(|in_flight| in_flight.attempt) else {
+            self.place_on_engines(now, request);
             return;
         };
         self.stop_attempt(attempt);
         self.try_again(now, request, Reason::TargetLost, text);
     }
 
-    fn put_off(&mut self, now: MonoMs, request: RequestId, text: &str) {
-        let Some(mut group) = self.take_group(now, request) else {
+    fn retry_later(&mut self, now: MonoMs, request: RequestId, text: &str) {
+        let Some(mut group) = self.take_released_group(now, request) else {
             return;
         };
         group.tries += 1;
-        let text = format!("put off: {text}");
-        self.decide(now, Subsystem::Placement, Some(request), text);
-        self.wait(now, request, group);
+        let text = format!("reservation delayed: {text}");
+        self.record_decision(now, Subsystem::Placement, Some(request), text);
+        self.schedule_retry(now, request, group);
     }
 
-    /// Does what is due for groups. Called at each tick.
-    pub(super) fn tend_groups(&mut self, now: MonoMs) {
+    /// Carries out the retries, timeouts and renewals of groups that are due. Called at each tick.
+    pub(super) fn process_due_groups(&mut self, now: MonoMs) {
         for due in self.groups.due(now) {
             match due {
-                // A stale view chooses no engines; what is held is renewed all the same.
+                // No engines are chosen while the view is stale, but reservations are still renewed.
                 DueGroup::Try(_) if self.refresh.is_some() => {}
-                DueGroup::Try(request) => self.place(now, request),
+                DueGroup::Try(request) => self.place_on_engines(now, request),
                 DueGroup::Unanswered(request) => {
-                    self.put_off(now, request, "an engine didn't answer in time");
+                    self.retry_later(now, request, "an engine didn't answer in time");
                 }
                 DueGroup::Renew(request) => self.renew(now, request),
             }
@@ -343,11 +366,11 @@
         }
     }
 
-    /// Gives back what is or may be held for a request. Every end of a request comes through here.
+    /// Releases all memory that is or may be reserved for a request. Called at every end of a request.
     pub(super) fn release_group(&mut self, request: RequestId) {
         if let Some(group) = self.groups.remove(request) {
             self.release_parts(&group);
-            self.unclaim(&group);
+            self.remove_from_queues(&group);
         }
     }
 
@@ -361,7 +384,7 @@
         let Some(address) = self.targets.get(target).map(|state| state.address) else {
             return;
         };
-        self.act(Action::Call {
+        self.emit(Action::Call {
             target: target.clone(),
             address,
             call: TargetCall::Release(ReleaseRequest { reservation }),
--- a/crates/core/src/core/on_holdings.rs
+++ b/crates/core/src/core/on_holdings.rs
@@ -1,4 +1,4 @@
-//! Memory at targets that nobody will give back.
+//! Leaked memory at targets, which its owner will never release.
 
 use {
     super::Core,
@@ -17,14 +17,19 @@
 };
 
 impl Core {
-    /// Frees what a report shows to be held by nobody.
-    pub(super) fn watch_holdings(&mut self, now: MonoMs, target: &TargetName, load: &LoadReport) {
-        let faults: Vec<(&Holding, LeakCause)> = load
+    /// Frees the holdings in a load report that are leaked, if they are due to be freed by this daemon.
+    pub(super) fn free_leaked_holdings(
+        &mut self,
+        now: MonoMs,
+        target: &TargetName,
+        load: &LoadReport,
+    ) {
+        let leaked: Vec<(&Holding, LeakCause)> = load
             .holdings
             .iter()
-            .filter_map(|holding| Some((holding, self.fault_of(holding)?)))
+            .filter_map(|holding| Some((holding, self.leak_cause_of(holding)?)))
             .collect();
-        let place = if faults.is_empty() {
+        let rank = if leaked.is_empty() {
             0
         } else {
             rank_of(
@@ -33,20 +38,20 @@
                 target.as_str(),
             )
         };
-        for holding in self.holdings.on_report(now, target, &faults, place) {
-            let text = format!("{target} is to free {}", holding.attempt);
-            self.decide(now, Subsystem::Requests, None, text);
-            self.call(target.clone(), freeing(&holding));
+        for holding in self.leak_detector.on_report(now, target, &leaked, rank) {
+            let text = format!("{target}: freeing leaked memory of {}", holding.attempt);
+            self.record_decision(now, Subsystem::Requests, None, text);
+            self.call(target.clone(), freeing_call(&holding));
         }
     }
 
-    fn fault_of(&self, holding: &Holding) -> Option<LeakCause> {
-        let known = if holding.reservation {
+    fn leak_cause_of(&self, holding: &Holding) -> Option<LeakCause> {
+        let is_known = if holding.reservation {
             self.groups.of_reservation(holding.attempt).is_some()
         } else {
             self.requests.of_attempt(holding.attempt).is_some()
         };
-        if holding.owner == self.options.incarnation && !known {
+        if holding.owner == self.options.incarnation && !is_known {
             return Some(LeakCause::RequestEnded);
         }
         if is_overdue(holding) {
@@ -59,7 +64,7 @@
     }
 }
 
-fn freeing(holding: &Holding) -> TargetCall {
+fn freeing_call(holding: &Holding) -> TargetCall {
     if holding.reservation {
         TargetCall::Release(ReleaseRequest {
             reservation: holding.attempt,
--- a/crates/core/src/core/on_load.rs
+++ b/crates/core/src/core/on_load.rs
@@ -1,4 +1,4 @@
-//! What waits at targets: noted here when work is sent and ends, and told to peers.
+//! Load of targets by prompts sent from here: recorded when they are sent and end, and sent to peers.
 
 use {
     super::Core,
@@ -15,21 +15,23 @@
     },
 };
 
-/// Time between full statements of this daemon's long work, in ms.
-const RESTATE_MS: u64 = 2_000;
-/// Part of a prompt's time that may be waiting if it is to teach the target's rate.
-const CLEAN_PART: f64 = 0.1;
+/// Interval at which the load by this daemon's long prompts is sent to peers again, in ms.
+const RESEND_INTERVAL_MS: u64 = 2_000;
+/// Maximum predicted wait of a prompt, as a fraction of its read time, for it to be a sample of the
+/// target's read rate.
+const MAX_SAMPLE_WAIT_FRACTION: f64 = 0.1;
 
 impl Core {
-    /// Priority of a request at an engine.
+    /// Returns the priority of a request at an engine: 0 is most urgent, 9 least.
     pub(super) fn priority_of(&self, entry: &Request) -> u8 {
         let policy = self.records.in_force().policy();
-        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
-        ask.priorities.at(ask.weight)
+        let routing_request =
+            RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        routing_request.priorities.at(routing_request.weight)
     }
 
-    /// Notes work that is sent, at its target and at those of its group.
-    pub(super) fn note_sent(
+    /// Records a prompt or call that is being sent, at its target and at the other engines of its group.
+    pub(super) fn record_sent(
         &mut self,
         now: MonoMs,
         request: RequestId,
@@ -40,90 +42,97 @@
             return;
         };
         let policy = self.records.in_force().policy();
-        let ask = RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
+        let routing_request =
+            RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let group = self.groups.get(request);
         let job = SentPrompt {
             attempt,
             sent_at: now,
             wait_ms: choice.wait_ms,
-            tokens: ask.prompt_tokens(),
+            tokens: routing_request.prompt_tokens(),
             engines: group.map_or(1, |group| group.parts.len()),
             read_ms: choice.read_ms,
             is_helper: false,
-            memory_tokens: group.map_or(tokens_of(ask.work), |group| group.part_tokens),
-            weight: ask.weight,
-            is_sample: choice.wait_ms <= choice.read_ms * CLEAN_PART,
+            memory_tokens: group.map_or(tokens_of(routing_request.work), |group| group.part_tokens),
+            weight: routing_request.weight,
+            is_sample: choice.wait_ms <= choice.read_ms * MAX_SAMPLE_WAIT_FRACTION,
         };
-        let mut touched = vec![choice.target.clone()];
+        let mut targets = vec![choice.target.clone()];
         if let Some(group) = group {
             let others = group.parts.iter().map(|part| part.target.clone());
-            touched.extend(others.filter(|target| *target != choice.target));
+            targets.extend(others.filter(|target| *target != choice.target));
         }
-        for target in &touched {
+        for target in &targets {
             if let Some(state) = self.targets.get_mut(target) {
                 let is_helper = *target != choice.target;
                 state.load.record_sent(SentPrompt { is_helper, ..job });
             }
         }
         if job.weight > Weight::Light {
-            self.untold.extend(touched);
+            self.unsent_loads.extend(targets);
         }
         if job.weight < Weight::Long {
             self.router.record_short_prompt(now, job.read_ms);
         }
     }
 
-    /// Notes the first token of an attempt and learns from it.
-    pub(super) fn note_read(&mut self, now: MonoMs, request: RequestId, attempt: AttemptId) {
-        let Some(flight) = self
+    /// Records that the first token of an attempt arrived. Its time may be a sample of the target's read
+    /// rate, and its prompt no longer counts as waiting.
+    pub(super) fn record_first_token(
+        &mut self,
+        now: MonoMs,
+        request: RequestId,
+        attempt: AttemptId,
+    ) {
+        let Some(in_flight) = self
             .requests
             .get(request)
             .and_then(|e| e.in_flight_attempt().cloned())
         else {
             return;
         };
-        let Some(state) = self.targets.get_mut(&flight.target) else {
+        let Some(state) = self.targets.get_mut(&in_flight.target) else {
             return;
         };
         if let Some(sample) = state.load.sample(now, attempt) {
-            self.targets.add_sample(&flight.target, &sample);
+            self.targets.add_sample(&in_flight.target, &sample);
         }
-        self.forget_load(&flight);
+        self.remove_load(&in_flight);
     }
 
-    /// Forgets what waits for an attempt, at its target and at the others of its group.
-    pub(super) fn forget_load(&mut self, flight: &InFlightAttempt) {
-        for target in [&flight.target].into_iter().chain(&flight.helpers) {
+    /// Removes an attempt from the load of its target and of the other engines of its group.
+    pub(super) fn remove_load(&mut self, in_flight: &InFlightAttempt) {
+        for target in [&in_flight.target].into_iter().chain(&in_flight.helpers) {
             let state = self.targets.get_mut(target);
-            let ended = state.and_then(|state| state.load.remove(flight.attempt));
+            let ended = state.and_then(|state| state.load.remove(in_flight.attempt));
             if ended.is_some_and(|job| job.weight > Weight::Light) {
-                self.untold.push(target.clone());
+                self.unsent_loads.push(target.clone());
             }
         }
     }
 
-    /// States all long work again now and then. Guards against a word that got lost, and keeps claims
-    /// believed, which peers forget when a daemon dies.
-    pub(super) fn restate_loads(&mut self, now: MonoMs) {
-        if now.since(self.restated) < RESTATE_MS {
+    /// Sends the load by all long prompts again from time to time. Guards against lost frames, and renews
+    /// queued prompts at peers, which expire them so that those of a dead daemon go away.
+    pub(super) fn resend_loads(&mut self, now: MonoMs) {
+        if now.since(self.loads_sent_at) < RESEND_INTERVAL_MS {
             return;
         }
-        self.restated = now;
+        self.loads_sent_at = now;
         let long = self
             .targets
             .iter()
             .filter(|(_, state)| state.load.has_long())
             .map(|(target, _)| target.clone());
-        self.untold.extend(long.collect::<Vec<_>>());
+        self.unsent_loads.extend(long.collect::<Vec<_>>());
     }
 
-    /// Tells peers at once of heavy work that came or went here. Guards against two daemons that send
-    /// heavy prompts to one target because each knows only of its own until the next report.
-    pub(super) fn tell_loads(&mut self, now: MonoMs) {
-        if self.untold.is_empty() {
+    /// Sends changes in medium and long prompts to peers immediately. Guards against two daemons that send
+    /// such prompts to the same target because each knows only its own until the next load report.
+    pub(super) fn send_loads(&mut self, now: MonoMs) {
+        if self.unsent_loads.is_empty() {
             return;
         }
-        let mut targets = std::mem::take(&mut self.untold);
+        let mut targets = std::mem::take(&mut self.unsent_loads);
         targets.sort();
         targets.dedup();
         let loads: Vec<TargetLoad> = targets
@@ -140,7 +149,7 @@
                 news,
                 ..PeerFrame::default()
             };
-            self.act(Action::Send {
+            self.emit(Action::Send {
                 to,
                 frame: Box::new(frame),
             });
@@ -148,14 +157,14 @@
     }
 
     fn load_of(&mut self, now: MonoMs, target: &TargetName) -> Option<TargetLoad> {
-        self.load_number += 1;
+        self.last_load_number += 1;
         let state = self.targets.get(target)?;
         let medium_ms = state.load.own_remaining_ms(now, Weight::Medium);
         let long_ms = state.load.own_remaining_ms(now, Weight::Long);
         let (claimed_ms, since) = state.load.own_queued();
         Some(TargetLoad {
             origin: self.options.incarnation,
-            number: self.load_number,
+            number: self.last_load_number,
             target: target.clone(),
             in_flight: state.in_flight,
             prefill_left_ms: (medium_ms + long_ms) as u64,
@@ -166,9 +175,13 @@
         })
     }
 
-    /// Takes in what peers say of their work. Returns what is to be passed on: nothing while every
-    /// daemon is linked to every other, since then each has heard it from its origin.
-    pub(super) fn take_loads(&mut self, now: MonoMs, loads: &[TargetLoad]) -> Vec<TargetLoad> {
+    /// Applies loads reported by peers and returns those to pass on: none while this daemon is linked to all
+    /// others, since then each has received them from their origin.
+    pub(super) fn apply_peer_loads(
+        &mut self,
+        now: MonoMs,
+        loads: &[TargetLoad],
+    ) -> Vec<TargetLoad> {
         let own = self.options.incarnation;
         let mut fresh = Vec::new();
         for load in loads.iter().filter(|load| load.origin != own) {
--- a/crates/core/src/core/on_peer.rs
+++ b/crates/core/src/core/on_peer.rs
@@ -1,4 +1,4 @@
-//! Other daemons: links, heartbeats and news.
+//! Links to other daemons, their heartbeats and news.
 
 use {
     super::Core,
@@ -17,24 +17,24 @@
         self.links.on_opened(now, peer, hello.peer_address);
         self.pulls.on_link_closed(peer);
         let text = format!("link to {} is open", hello.instance);
-        self.decide(now, Subsystem::Peers, None, text);
-        self.tell_members(superseded);
-        self.introduce(peer);
-        self.beat(now);
+        self.record_decision(now, Subsystem::Peers, None, text);
+        self.broadcast_members(superseded);
+        self.introduce_peer(peer);
+        self.send_heartbeats(now);
     }
 
-    /// Tells a newly linked peer of all daemons, and all others of it.
-    fn introduce(&mut self, peer: Incarnation) {
+    /// Sends a newly linked peer the news of all daemons, and all other peers the news of it.
+    fn introduce_peer(&mut self, peer: Incarnation) {
         let others = self.members.iter().map(|member| &member.news);
         let known: Vec<MemberNews> = others.chain([self.members.own()]).cloned().collect();
-        let (of_peer, members): (Vec<_>, Vec<_>) = known
+        let (peer_news, members): (Vec<_>, Vec<_>) = known
             .iter()
             .cloned()
             .partition(|news| news.incarnation == peer);
-        self.links.enqueue(peer, &of_members(members));
-        // What is held against the peer itself is told too: it may contradict.
-        self.links.enqueue(peer, &of_members(of_peer.clone()));
-        self.links.broadcast(&of_members(of_peer), Some(peer));
+        self.links.enqueue(peer, &member_news(members));
+        // The peer also receives the news about itself: if it is suspected, it can refute that.
+        self.links.enqueue(peer, &member_news(peer_news.clone()));
+        self.links.broadcast(&member_news(peer_news), Some(peer));
     }
 
     pub(super) fn on_peer_down(&mut self, _address: SocketAddr, peer: Option<Incarnation>) {
@@ -67,24 +67,24 @@
         if !frame.alive.is_empty() {
             self.on_stamps(now, from, &frame.alive);
         }
-        self.take_news(now, from, &frame.news);
+        self.apply_news(now, from, &frame.news);
     }
 
     fn on_stamps(&mut self, now: MonoMs, from: Incarnation, stamps: &[MemberStamp]) {
         let lacking = self.members.apply_stamps(now, stamps);
-        self.links.enqueue(from, &of_members(lacking));
+        self.links.enqueue(from, &member_news(lacking));
     }
 
-    fn take_news(&mut self, now: MonoMs, from: Incarnation, news: &News) {
+    fn apply_news(&mut self, now: MonoMs, from: Incarnation, news: &News) {
         let mut fresh = News::default();
         for member in &news.members {
             match self.members.merge(now, member) {
                 MergeResult::Unchanged => {}
                 MergeResult::Changed => fresh.members.push(member.clone()),
-                MergeResult::Refuted => self.tell_members(vec![self.members.own().clone()]),
+                MergeResult::Refuted => self.broadcast_members(vec![self.members.own().clone()]),
                 MergeResult::Superseded => {
-                    let text = "another run has taken this one's place".to_owned();
-                    self.decide(now, Subsystem::Fleet, None, text);
+                    let text = "superseded by another run of this instance".to_owned();
+                    self.record_decision(now, Subsystem::Fleet, None, text);
                     self.on_stop(now);
                 }
             }
@@ -102,30 +102,30 @@
                 fresh.poison.push(poison.clone());
             }
         }
-        fresh.loads = self.take_loads(now, &news.loads);
+        fresh.loads = self.apply_peer_loads(now, &news.loads);
         self.links.broadcast(&fresh, Some(from));
     }
 
-    fn tell_members(&mut self, members: Vec<MemberNews>) {
-        self.links.broadcast(&of_members(members), None);
+    fn broadcast_members(&mut self, members: Vec<MemberNews>) {
+        self.links.broadcast(&member_news(members), None);
     }
 
-    /// Judges who is silent, and tells what changed.
-    fn judge_members(&mut self, now: MonoMs) {
-        let mut told = self.members.tick(now);
-        for news in &told {
-            let text = format!("{} is held to be {:?}", news.instance, news.state);
-            self.decide(now, Subsystem::Fleet, None, text);
+    /// Updates the states of members by their silence, and sends what changed to all peers.
+    fn update_member_states(&mut self, now: MonoMs) {
+        let mut changed = self.members.tick(now);
+        for news in &changed {
+            let text = format!("{} is considered {:?}", news.instance, news.state);
+            self.record_decision(now, Subsystem::Fleet, None, text);
         }
         if self.leaving_since.is_some() {
-            told.extend(self.members.start_leaving());
+            changed.extend(self.members.start_leaving());
         }
-        self.tell_members(told);
+        self.broadcast_members(changed);
     }
 
-    pub(super) fn beat(&mut self, now: MonoMs) {
-        self.notice_pause(now);
-        self.judge_members(now);
+    pub(super) fn send_heartbeats(&mut self, now: MonoMs) {
+        self.detect_pause(now);
+        self.update_member_states(now);
         let summary = self.records.summary();
         let stamps_to = self.links.next_stamps_recipient(now);
         if let Some(to) = stamps_to {
@@ -144,7 +144,7 @@
     }
 }
 
-fn of_members(members: Vec<MemberNews>) -> News {
+fn member_news(members: Vec<MemberNews>) -> News {
     News {
         members,
         ..News::default()
--- a/crates/core/src/core/on_platform.rs
+++ b/crates/core/src/core/on_platform.rs
@@ -1,4 +1,4 @@
-//! The platform: records and the list of instances.
+//! Reads from the platform: records and the list of instances.
 
 use {
     super::Core,
@@ -18,17 +18,17 @@
 
 impl Core {
     pub(super) fn read_platform(&mut self, now: MonoMs) {
-        let (role, reads_per_s) = self.reader_share();
+        let (role, reads_per_s) = self.reader_role_and_rate();
         for read in self.platform.due_reads(now, role, reads_per_s) {
-            self.act(match read {
+            self.emit(match read {
                 PlatformRead::Records { after, wait_ms } => Action::ReadRecords { after, wait_ms },
                 PlatformRead::List => Action::ReadInstances,
             });
         }
     }
 
-    /// Whether to watch the platform, and how many reads a second are this daemon's.
-    fn reader_share(&self) -> (ReaderRole, f64) {
+    /// Returns whether this daemon watches the platform, and its share of the fleet's reads per second.
+    fn reader_role_and_rate(&self) -> (ReaderRole, f64) {
         let own = self.options.incarnation;
         let others = self
             .members
@@ -36,8 +36,11 @@
             .map(|member| (&member.news.failure_domain, member.news.incarnation));
         let alive = std::iter::once((&self.options.failure_domain, own)).chain(others);
         let mut watchers = Watchers::elect(own, alive);
-        // Until it knows the others, a daemon takes the list's word for how many there are.
-        let listed = self.list.as_ref().map_or(0, |list| list.daemons.len());
+        // Until this daemon knows the other members, the list shows how many share the reads.
+        let listed = self
+            .instance_list
+            .as_ref()
+            .map_or(0, |list| list.daemons.len());
         watchers.watcher_count += listed.saturating_sub(watchers.daemon_count);
         watchers.daemon_count = watchers.daemon_count.max(listed);
         let role = if watchers.includes_self {
@@ -74,38 +77,41 @@
         }
         match self.records.find_missing(full) {
             MissingRecords::None => {}
-            // A peer's push may have overtaken the last page: look again.
+            // A peer may have pushed a newer record before the last page arrived: read again.
             MissingRecords::Stale => self.platform.request_deletion_scan(),
             MissingRecords::Deleted(tombstones) => {
-                let text = format!("the platform no longer names {} records", tombstones.len());
-                self.decide(now, Subsystem::Records, None, text);
+                let text = format!("{} records were deleted at the platform", tombstones.len());
+                self.record_decision(now, Subsystem::Records, None, text);
                 self.merge_records(now, &tombstones, None);
             }
         }
     }
 
-    /// Applies the list again, since the records may name targets that it lists already.
-    pub(super) fn follow_known_list(&mut self, now: MonoMs) {
-        if let Some(list) = self.list.clone() {
-            self.follow_list(now, &list);
+    /// Applies the last list again: it may state that a target is leaving that new records name.
+    pub(super) fn reapply_list(&mut self, now: MonoMs) {
+        if let Some(list) = self.instance_list.clone() {
+            self.apply_list(now, &list);
         }
     }
 
     fn on_list(&mut self, now: MonoMs, list: InstanceList) {
         self.platform.on_list(now, &mut self.rng);
-        self.follow_list(now, &list);
-        self.list = Some(list);
-        self.open_links(now);
+        self.apply_list(now, &list);
+        self.instance_list = Some(list);
+        self.update_links(now);
     }
 
-    fn follow_list(&mut self, now: MonoMs, list: &InstanceList) {
+    fn apply_list(&mut self, now: MonoMs, list: &InstanceList) {
         let mut news = News::default();
         for listed in &list.targets {
             if !self.targets.apply_list_entry(listed) {
                 continue;
             }
-            let text = format!("{} is leaving, says the list", listed.target);
-            self.decide(now, Subsystem::Fleet, None, text);
+            let text = format!(
+                "{} is leaving according to the list of instances",
+                listed.target
+            );
+            self.record_decision(now, Subsystem::Fleet, None, text);
             news.targets.push(TargetNews {
                 target: listed.target.clone(),
                 incarnation: listed.incarnation,
--- a/crates/core/src/core/on_poison.rs
+++ b/crates/core/src/core/on_poison.rs
@@ -1,4 +1,4 @@
-//! Requests that may crash targets: they wait, run alone, or are refused.
+//! Requests that are suspected of crashing targets: they wait, run alone, or are refused.
 
 use {
     super::Core,
@@ -19,64 +19,67 @@
 };
 
 impl Core {
-    /// Notes that an attempt broke off: its target may be dead, and all in flight there suspects.
-    pub(super) fn broke_off(&mut self, now: MonoMs, attempt: AttemptId) {
+    /// Records that an attempt broke off. If its target has crashed, all requests in flight there become
+    /// suspects.
+    pub(super) fn record_broken_attempt(&mut self, now: MonoMs, attempt: AttemptId) {
         let request = self.requests.of_attempt(attempt);
         let entry = request.and_then(|request| self.requests.get(request));
-        let Some(flight) = entry.and_then(Request::in_flight_attempt).cloned() else {
+        let Some(in_flight) = entry.and_then(Request::in_flight_attempt).cloned() else {
             return;
         };
-        let in_flight: Vec<u64> = self
+        let fingerprints: Vec<u64> = self
             .requests
-            .at_target(&flight.target)
+            .at_target(&in_flight.target)
             .filter(|entry| {
-                entry.in_flight_attempt().map(|f| f.incarnation) == Some(flight.incarnation)
+                entry.in_flight_attempt().map(|f| f.incarnation) == Some(in_flight.incarnation)
             })
             .map(|entry| entry.submission.fingerprint)
             .collect();
-        let others = self.others_at(&flight.target, in_flight.len());
-        let fingerprints = in_flight.into_iter();
+        let others = self.has_other_work(&in_flight.target, fingerprints.len());
         self.poison.record_broken_attempt(
             now,
-            &flight.target,
-            flight.incarnation,
-            fingerprints,
+            &in_flight.target,
+            in_flight.incarnation,
+            fingerprints.into_iter(),
             others,
         );
     }
 
-    /// Whether the target's last report shows more work than this daemon's own.
-    fn others_at(&self, target: &TargetName, own: usize) -> bool {
+    /// Returns whether the target's last report shows more requests than the `own` ones of this daemon.
+    fn has_other_work(&self, target: &TargetName, own: usize) -> bool {
         let report = self.targets.get(target).and_then(|s| s.report.as_ref());
         report.is_some_and(|report| (report.running + report.waiting) as usize > own)
     }
 
-    /// Notes that a request completed and so is no poison.
-    pub(super) fn absolve(&mut self, request: RequestId) {
+    /// Clears the suspicion of a request that completed, here and at peers.
+    pub(super) fn clear_suspicion(&mut self, request: RequestId) {
         let Some(entry) = self.requests.get(request) else {
             return;
         };
         if let Some(news) = self.poison.clear_completed(entry.submission.fingerprint) {
-            self.tell_poison(vec![news]);
+            self.send_poison_news(vec![news]);
         }
     }
 
-    /// Decides about targets where attempts broke off, and tells peers.
-    pub(super) fn settle_poison(&mut self, now: MonoMs) {
+    /// Determines which targets crashed after attempts broke off, and sends the suspects to peers.
+    pub(super) fn resolve_crashes(&mut self, now: MonoMs) {
         let targets = &self.targets;
         let news = self
             .poison
-            .resolve_crashes(now, |target, run| fate_of(targets, target, run));
-        for told in &news {
-            let deaths = told.deaths.len();
-            let text = format!("{:x} was at {deaths} targets that died", told.fingerprint);
-            self.decide(now, Subsystem::Requests, None, text);
+            .resolve_crashes(now, |target, run| run_status(targets, target, run));
+        for suspect in &news {
+            let crashes = suspect.deaths.len();
+            let text = format!(
+                "fingerprint {:x} was in flight at {crashes} targets that crashed",
+                suspect.fingerprint
+            );
+            self.record_decision(now, Subsystem::Requests, None, text);
         }
-        self.tell_poison(news);
+        self.send_poison_news(news);
     }
 
-    /// Tells linked peers at once: the caller may send it to one of them in the next moment.
-    fn tell_poison(&mut self, poison: Vec<PoisonNews>) {
+    /// Sends poison news to linked peers immediately, since the caller may resend the request to one of them.
+    fn send_poison_news(&mut self, poison: Vec<PoisonNews>) {
         if poison.is_empty() {
             return;
         }
@@ -91,29 +94,29 @@
                 ..PeerFrame::default()
             };
             let frame = Box::new(frame);
-            self.act(Action::Send { to, frame });
+            self.emit(Action::Send { to, frame });
         }
     }
 
-    /// Whether a request may be routed now. If not, it is held, or ended as poison.
+    /// Returns whether a request may be routed now. If not, holds it, or ends it as poison.
     pub(super) fn may_route(&mut self, now: MonoMs, request: RequestId) -> bool {
         if self.refresh.is_some() {
             self.hold(now, request, "the view is stale");
             return false;
         }
-        match self.standing(now, request) {
-            Suspicion::Suspected if self.twin_in_flight(request) => {
-                self.hold(now, request, "a suspect, and the same runs elsewhere");
+        match self.suspicion(now, request) {
+            Suspicion::Suspected if self.is_duplicate_in_flight(request) => {
+                self.hold(now, request, "suspected, and the same request is in flight");
                 false
             }
             Suspicion::Clear | Suspicion::Suspected => true,
             Suspicion::Unconfirmed => {
-                self.hold(now, request, "targets may have died of it");
+                self.hold(now, request, "targets may have crashed because of it");
                 false
             }
             Suspicion::Poison { remaining_ms } => {
-                let kind = self.kind_now(request);
-                let message = "targets died of this request: change it or come back later";
+                let kind = self.current_outcome_kind(request);
+                let message = "targets crashed because of this request: change it or retry later";
                 self.finish(
                     now,
                     request,
@@ -127,15 +130,14 @@
         }
     }
 
-    /// Whether a request is a suspect and must be the only one at its target.
-    pub(super) fn runs_alone(&self, now: MonoMs, request: RequestId) -> bool {
-        self.standing(now, request) != Suspicion::Clear
+    /// Returns whether a request is a suspect and must be the only one at its target.
+    pub(super) fn must_run_alone(&self, now: MonoMs, request: RequestId) -> bool {
+        self.suspicion(now, request) != Suspicion::Clear
     }
 
-    /// Targets that the request is to avoid if another exists: those it was tried at; and, where
-    /// that leaves another, those where it would share with a suspect or, as a suspect, with
-    /// anything.
-    pub(super) fn to_avoid(&self, now: MonoMs, request: RequestId) -> Vec<TargetName> {
+    /// Returns the targets that a request avoids if another exists: those where it was tried. If others
+    /// remain, also those where it would run beside a suspect or, as a suspect itself, beside any request.
+    pub(super) fn avoided_targets(&self, now: MonoMs, request: RequestId) -> Vec<TargetName> {
         let Some(entry) = self.requests.get(request) else {
             return Vec::new();
         };
@@ -143,7 +145,7 @@
         if self.poison.is_empty() {
             return tried;
         }
-        let alone = self.runs_alone(now, request);
+        let alone = self.must_run_alone(now, request);
         let (shared, free): (Vec<_>, Vec<_>) = self
             .targets_for(entry)
             .filter(|target| !tried.contains(target))
@@ -157,7 +159,7 @@
             .collect()
     }
 
-    /// Targets that serve a request and take work.
+    /// Returns the targets that serve a request and accept work.
     fn targets_for<'a>(&'a self, entry: &'a Request) -> impl Iterator<Item = &'a TargetName> {
         let serving = |record: &&TargetRecord| {
             let mut shares = entry.route.providers.iter();
@@ -178,25 +180,29 @@
 
     fn is_busy(&self, target: &TargetName) -> bool {
         let own = self.requests.at_target(target).next().is_some();
-        own || self.others_at(target, 0)
+        own || self.has_other_work(target, 0)
     }
 
-    /// Whether a suspect would share `target` with another suspect; then it waits. Were they
-    /// sent there together, the innocent would fall with the guilty a second time.
-    pub(super) fn must_wait_for(
+    /// Returns whether a suspect would share `target` with another suspect, and if so holds it. Guards
+    /// against a second crash that doesn't show which of the two caused it.
+    pub(super) fn must_wait_for_suspect(
         &mut self,
         now: MonoMs,
         request: RequestId,
         target: &TargetName,
     ) -> bool {
-        let shares = self.runs_alone(now, request) && self.has_suspect(now, target);
+        let shares = self.must_run_alone(now, request) && self.has_suspect(now, target);
         if shares {
-            self.hold(now, request, "a suspect, and another suspect runs there");
+            self.hold(
+                now,
+                request,
+                "suspected, and another suspect runs at its target",
+            );
         }
         shares
     }
 
-    /// Routes again what was held.
+    /// Routes held requests again, unless the view is stale.
     pub(super) fn route_held(&mut self, now: MonoMs) {
         if self.refresh.is_some() {
             return;
@@ -208,12 +214,12 @@
 
     fn hold(&mut self, now: MonoMs, request: RequestId, why: &str) {
         if self.requests.hold(request) {
-            let text = format!("waits: {why}");
-            self.decide(now, Subsystem::Requests, Some(request), text);
+            let text = format!("held: {why}");
+            self.record_decision(now, Subsystem::Requests, Some(request), text);
         }
     }
 
-    fn standing(&self, now: MonoMs, request: RequestId) -> Suspicion {
+    fn suspicion(&self, now: MonoMs, request: RequestId) -> Suspicion {
         let limit = self.records.in_force().policy().poison_targets;
         self.requests
             .get(request)
@@ -231,7 +237,7 @@
         })
     }
 
-    fn twin_in_flight(&self, request: RequestId) -> bool {
+    fn is_duplicate_in_flight(&self, request: RequestId) -> bool {
         let Some(entry) = self.requests.get(request) else {
             return false;
         };
@@ -242,8 +248,8 @@
     }
 }
 
-/// What became of a run of a target, as far as is known.
-fn fate_of(targets: &Targets, target: &TargetName, run: Incarnation) -> RunStatus {
+/// Returns the status of a run of a target, as far as this daemon knows.
+fn run_status(targets: &Targets, target: &TargetName, run: Incarnation) -> RunStatus {
     match targets.get(target) {
         None => RunStatus::Unknown,
         Some(state) if state.incarnation != Some(run) => RunStatus::Dead,
--- a/crates/core/src/core/on_records.rs
+++ b/crates/core/src/core/on_records.rs
@@ -1,4 +1,4 @@
-//! Agreement on the records with other daemons: comparison, pulls and pushes.
+//! Exchange of records with other daemons: comparison, pulls and pushes.
 
 use {
     super::Core,
@@ -10,18 +10,19 @@
     },
 };
 
-/// Bytes of records in one frame; a larger record goes alone. Far below the frame's limit, so that
-/// heartbeats don't wait long behind one.
-const FRAME_BYTES: usize = 256 * 1_024;
-/// Bytes of records in the answer to one pull. The peer asks again for the rest, so that a fast
+/// Maximum bytes of records in one frame; a larger record is sent alone. Far below the size limit of
+/// frames, so that heartbeats don't wait long behind one.
+const MAX_FRAME_RECORD_BYTES: usize = 256 * 1_024;
+/// Maximum bytes of records in the response to one pull. The peer pulls the rest later, so that a fast
 /// sender can't fill a slow link's queue.
-const ANSWER_BYTES: usize = 1_024 * 1_024;
-/// Bytes of new records that are pushed on at once. More is left to pulls: a daemon that starts
-/// would else push all that it reads to peers that hold it already.
-const PUSH_BYTES: usize = 64 * 1_024;
+const MAX_PULL_RESPONSE_BYTES: usize = 1_024 * 1_024;
+/// Maximum bytes of new records that are pushed to peers. More are left to pulls: otherwise a daemon that
+/// starts would push all records that it reads to peers that already have them.
+const MAX_PUSH_BYTES: usize = 64 * 1_024;
 
 impl Core {
-    /// Begins a pull if the peer holds others. Both sides do, so both end with the join.
+    /// Begins a pull if the peer's records differ. Both sides do, so that both end with the same merged
+    /// records.
     pub(super) fn compare_records(
         &mut self,
         now: MonoMs,
@@ -67,7 +68,9 @@
         if pull.keys.is_empty() {
             return;
         }
-        let records = self.records.envelopes_of(&pull.keys, ANSWER_BYTES);
+        let records = self
+            .records
+            .envelopes_of(&pull.keys, MAX_PULL_RESPONSE_BYTES);
         for records in frames_of(records) {
             self.send(
                 peer,
@@ -89,15 +92,15 @@
     pub(super) fn on_listing(&mut self, now: MonoMs, peer: Incarnation, listing: &RecordListing) {
         let wanted = self.records.wanted_keys(&listing.stamps);
         let keys = self.pulls.on_listing(now, peer, wanted);
-        self.pull_keys_or_settle(peer, keys);
+        self.pull_keys_or_finish(peer, keys);
     }
 
     pub(super) fn on_pull_done(&mut self, now: MonoMs, peer: Incarnation) {
         let keys = self.pulls.on_response_end(now, peer);
-        self.pull_keys_or_settle(peer, keys);
+        self.pull_keys_or_finish(peer, keys);
     }
 
-    fn pull_keys_or_settle(&mut self, peer: Incarnation, keys: Vec<u64>) {
+    fn pull_keys_or_finish(&mut self, peer: Incarnation, keys: Vec<u64>) {
         if keys.is_empty() {
             let theirs = self.links.summary_of(peer);
             self.pulls.finish(peer, self.records.summary(), theirs);
@@ -125,8 +128,7 @@
         }
     }
 
-    /// Merges records from the platform or from a peer, and tells the other peers at once what was
-    /// new.
+    /// Merges records from the platform, or from the peer `from`, and pushes the new ones to the other peers.
     pub(super) fn merge_records(
         &mut self,
         now: MonoMs,
@@ -145,20 +147,20 @@
                 Merge::InForce => format!("{key} is in force at {revision} from {source}"),
                 Merge::Rejected(fault) => format!("{key} is rejected at {revision}: {fault}"),
             };
-            self.decide(now, Subsystem::Records, None, text);
+            self.record_decision(now, Subsystem::Records, None, text);
             fresh.push(envelope.clone());
         }
         if fresh.is_empty() {
             return;
         }
         self.targets.apply_records(self.records.in_force());
-        self.follow_known_list(now);
+        self.reapply_list(now);
         self.push_records(&fresh, from);
     }
 
     fn push_records(&mut self, fresh: &[RecordEnvelope], except: Option<Incarnation>) {
         let bytes: usize = fresh.iter().map(records::frame_bytes).sum();
-        if bytes > PUSH_BYTES {
+        if bytes > MAX_PUSH_BYTES {
             return;
         }
         let peers: Vec<Incarnation> = self
@@ -178,21 +180,21 @@
     }
 
     pub(super) fn send(&mut self, to: Incarnation, frame: PeerFrame) {
-        self.act(Action::Send {
+        self.emit(Action::Send {
             to,
             frame: Box::new(frame),
         });
     }
 }
 
-/// Splits records over frames of bounded size.
+/// Splits records into frames of at most [`MAX_FRAME_RECORD_BYTES`], or of a single larger record.
 fn frames_of(records: Vec<RecordEnvelope>) -> Vec<Vec<RecordEnvelope>> {
     let mut frames: Vec<Vec<RecordEnvelope>> = Vec::new();
-    let mut bytes = FRAME_BYTES;
+    let mut bytes = MAX_FRAME_RECORD_BYTES;
     for envelope in records {
         bytes += records::frame_bytes(&envelope);
         match frames.last_mut() {
-            Some(frame) if bytes <= FRAME_BYTES => frame.push(envelope),
+            Some(frame) if bytes <= MAX_FRAME_RECORD_BYTES => frame.push(envelope),
             _ => {
                 bytes = records::frame_bytes(&envelope);
                 frames.push(vec![envelope]);
--- a/crates/core/src/core/on_stop.rs
+++ b/crates/core/src/core/on_stop.rs
@@ -1,5 +1,5 @@
-//! The end of this daemon: take nothing new, finish what is in flight. Peers hear of it with the
-//! news of members.
+//! Stop of this daemon: new requests are refused, and those in flight are finished. Peers learn of it from
+//! the member news.
 
 use {
     super::Core,
@@ -13,7 +13,7 @@
             return;
         }
         self.leaving_since = Some(now);
-        self.decide(
+        self.record_decision(
             now,
             Subsystem::Fleet,
             None,
@@ -21,7 +21,8 @@
         );
     }
 
-    /// Whether new work is refused: callers have had the time to drop this daemon's address.
+    /// Returns whether new requests are refused: this daemon is leaving, and callers have had time to drop
+    /// its address.
     pub(super) fn refuses_new(&self, now: MonoMs) -> bool {
         let ttl_ms = self.records.in_force().policy().entries_ttl_ms;
         self.leaving_since
@@ -29,16 +30,16 @@
     }
 
     pub(super) fn refuse_leaving(&mut self, now: MonoMs, request: RequestId) {
-        let message = "this daemon is about to leave: use another entry";
+        let message = "this daemon is leaving: use another entry";
         self.refuse(now, request, Reason::Leaving, message, Some(0));
     }
 
-    /// Ends the daemon, once, when new work is refused and nothing is in flight.
+    /// Stops the daemon once new requests are refused and none is in flight.
     pub(super) fn stop_if_idle(&mut self, now: MonoMs) {
         if self.stopped || !self.refuses_new(now) || !self.requests.is_empty() {
             return;
         }
         self.stopped = true;
-        self.act(Action::Stopped);
+        self.emit(Action::Stopped);
     }
 }
--- a/crates/core/src/core/on_target.rs
+++ b/crates/core/src/core/on_target.rs
@@ -1,4 +1,4 @@
-//! What targets answer to calls that aren't attempts.
+//! Answers of targets to calls that aren't attempts.
 
 use {
     super::Core,
@@ -15,8 +15,8 @@
     },
 };
 
-/// Time between load reports of a target, in ms.
-const REPORT_EVERY_MS: u64 = 250;
+/// Interval between reads of a target's load report, in ms.
+const REPORT_INTERVAL_MS: u64 = 250;
 
 impl Core {
     pub(super) fn on_target(&mut self, now: MonoMs, target: &TargetName, event: TargetEvent) {
@@ -27,7 +27,7 @@
             TargetEvent::Ordered(verdict) => self.on_ordered(now, target, verdict),
             TargetEvent::Reserved(reservation) => self.on_reserved(now, target, reservation),
             TargetEvent::ReserveRefused(reservation) => {
-                self.on_not_reserved(now, target, reservation, "refuses to set memory aside");
+                self.on_not_reserved(now, target, reservation, "refused a reservation");
             }
             TargetEvent::ReserveLost(reservation) => {
                 self.on_not_reserved(now, target, reservation, "didn't answer a reservation");
@@ -37,31 +37,32 @@
     }
 
     fn on_report(&mut self, now: MonoMs, target: &TargetName, report: LoadReport) {
-        self.watch_holdings(now, target, &report);
+        self.free_leaked_holdings(now, target, &report);
         let incarnation = report.incarnation;
         if self.targets.apply_report(now, target, report) {
-            self.leaves(now, target, incarnation, "its own report");
+            self.announce_leaving(now, target, incarnation, "its own report");
         }
     }
 
     fn on_unreachable(&mut self, now: MonoMs, target: &TargetName) {
-        self.orderer.on_unreachable(target);
+        self.order_planner.on_unreachable(target);
         if self.targets.record_missed_report(target) {
-            let text = format!("{target} gets nothing new: it answers no reads");
-            self.decide(now, Subsystem::Fleet, None, text);
+            let text = format!("{target} gets no new requests: it doesn't answer reads");
+            self.record_decision(now, Subsystem::Fleet, None, text);
         }
     }
 
-    /// Tells everyone that a run of a target is about to leave.
-    pub(super) fn leaves(
+    /// Sends all peers the news that a run of a target is leaving. `source` names where this daemon learned
+    /// it.
+    pub(super) fn announce_leaving(
         &mut self,
         now: MonoMs,
         target: &TargetName,
         incarnation: Incarnation,
-        says: &str,
+        source: &str,
     ) {
-        let text = format!("{target} is leaving, says {says}");
-        self.decide(now, Subsystem::Fleet, None, text);
+        let text = format!("{target} is leaving according to {source}");
+        self.record_decision(now, Subsystem::Fleet, None, text);
         let news = TargetNews {
             target: target.clone(),
             incarnation,
@@ -77,8 +78,8 @@
     }
 
     pub(super) fn read_reports(&mut self, now: MonoMs) {
-        for (target, address) in self.targets.due_for_report(now, REPORT_EVERY_MS) {
-            self.act(Action::Call {
+        for (target, address) in self.targets.due_for_report(now, REPORT_INTERVAL_MS) {
+            self.emit(Action::Call {
                 target,
                 address,
                 call: TargetCall::Report,
--- a/crates/core/src/core/on_tick.rs
+++ b/crates/core/src/core/on_tick.rs
@@ -1,4 +1,4 @@
-//! Time: deadlines, heartbeats, reads that are due, a pause of the process.
+//! Work that depends on time: deadlines, heartbeats, due reads, and pauses of the process.
 
 use {
     super::Core,
@@ -6,57 +6,58 @@
     whinlatch_wire::caller::Reason,
 };
 
-/// A gap between events after which the process is taken to have been paused, in ms.
-const PAUSE_MS: u64 = 2_000;
-/// Time between two looks for what may be forgotten, in ms.
-const SWEEP_EVERY_MS: u64 = 1_000;
+/// Gap between events from which on the process is considered to have been paused, in ms.
+const MIN_PAUSE_MS: u64 = 2_000;
+/// Interval between evictions of expired state, in ms.
+const EVICTION_INTERVAL_MS: u64 = 1_000;
 
 impl Core {
-    /// The exact moment of the next deadline, or `now` if one has passed. Called then, the core
-    /// ends the request with no delay; ticks end it within one tick.
+    /// Returns the time of the next deadline, `now` if one has passed, or `None` without requests. An event
+    /// at this time ends the request without delay; otherwise the next tick ends it.
     pub fn next_wake(&self, now: MonoMs) -> Option<MonoMs> {
         self.requests
             .next_deadline()
             .map(|deadline| deadline.max(now))
     }
 
-    /// Brings the core to `now`, before any event is looked at: the first event after a pause may
-    /// be any, and a deadline may pass between two ticks.
+    /// Advances the core's clock to `now` before an event is handled: ends requests whose deadline has
+    /// passed, and detects pauses. Not left to ticks, since any event may be the first after a pause, and a
+    /// deadline may pass between two ticks.
     pub(super) fn advance(&mut self, now: MonoMs) {
-        let gap_ms = now.since(self.last_event);
-        self.last_event = now;
-        self.expire(now);
-        if gap_ms > PAUSE_MS {
+        let gap_ms = now.since(self.last_event_at);
+        self.last_event_at = now;
+        self.expire_requests(now);
+        if gap_ms > MIN_PAUSE_MS {
             let text = format!("the process was paused for {gap_ms} ms: the view is stale");
-            self.decide(now, Subsystem::Fleet, None, text);
+            self.record_decision(now, Subsystem::Fleet, None, text);
             self.refresh = Some(ResumeRefresh::new(now));
-            self.orderer.clear();
+            self.order_planner.clear();
         }
     }
 
     pub(super) fn on_tick(&mut self, now: MonoMs) {
         self.read_platform(now);
         self.read_reports(now);
-        self.open_links(now);
-        self.beat(now);
-        self.end_refresh(now);
-        self.settle_poison(now);
+        self.update_links(now);
+        self.send_heartbeats(now);
+        self.end_refresh_if_over(now);
+        self.resolve_crashes(now);
         self.route_held(now);
-        self.tend_groups(now);
-        self.restate_loads(now);
-        self.give_orders(now);
-        self.forget_old(now);
+        self.process_due_groups(now);
+        self.resend_loads(now);
+        self.send_orders(now);
+        self.evict_expired(now);
         self.stop_if_idle(now);
     }
 
-    fn expire(&mut self, now: MonoMs) {
+    fn expire_requests(&mut self, now: MonoMs) {
         for request in self.requests.past_deadline(now) {
             self.give_up(now, request, Reason::DeadlineReached, "the deadline passed");
         }
     }
 
-    /// Ends a refresh. What didn't answer is held to be gone until it does.
-    fn end_refresh(&mut self, now: MonoMs) {
+    /// Ends a refresh that is over. Targets that didn't answer get no requests until they report again.
+    fn end_refresh_if_over(&mut self, now: MonoMs) {
         let Some(refresh) = self.refresh else {
             return;
         };
@@ -69,22 +70,25 @@
             }
         }
         self.refresh = None;
-        let text = format!("the view is fresh after {} ms", now.since(refresh.since()));
-        self.decide(now, Subsystem::Fleet, None, text);
+        let text = format!(
+            "the view is up to date after {} ms",
+            now.since(refresh.since())
+        );
+        self.record_decision(now, Subsystem::Fleet, None, text);
     }
 
-    fn forget_old(&mut self, now: MonoMs) {
+    fn evict_expired(&mut self, now: MonoMs) {
         for ticket in self.tickets.evict_expired(now) {
-            self.act(Action::ForgetAnswer { ticket });
+            self.emit(Action::ForgetAnswer { ticket });
         }
-        if now < self.next_sweep {
+        if now < self.next_eviction_at {
             return;
         }
-        self.next_sweep = now + SWEEP_EVERY_MS;
+        self.next_eviction_at = now + EVICTION_INTERVAL_MS;
         self.poison.evict_expired(now);
         self.retries.evict_idle(now);
         let in_force = self.records.in_force();
-        self.holdings
+        self.leak_detector
             .retain(|target| in_force.target(target).is_some());
     }
 }
--- a/crates/core/src/core/on_ticket.rs
+++ b/crates/core/src/core/on_ticket.rs
@@ -1,4 +1,5 @@
-//! Requests that may not be repeated: only the home of the ticket may run one.
+//! Requests that aren't idempotent. Each needs a ticket, and only the ticket's home, the daemon that
+//! issued it, may run it.
 
 use {
     super::Core,
@@ -16,20 +17,22 @@
     },
 };
 
-/// When a caller is told to come back for more tickets, in ms: unused ones have expired by then.
-const MORE_TICKETS_MS: u64 = 120_000;
-/// When a caller is told to ask again for a ticket whose home isn't known here, in ms.
+/// Delay after which an account that has too many tickets may ask for more, in ms. Unused tickets have
+/// expired by then.
+const MORE_TICKETS_RETRY_MS: u64 = 120_000;
+/// Delay after which a caller may retry if the ticket's home isn't known here or gave no answer, in ms.
 const HOME_RETRY_MS: u64 = 1_000;
 
 impl Core {
-    /// Takes in a request that may not be repeated: only the home of its ticket may run it.
-    pub(super) fn submit_once(&mut self, now: MonoMs, entry: Request) {
+    /// Handles a request that isn't idempotent: issues a ticket if it has none, forwards it to the home of
+    /// its ticket, or runs it here.
+    pub(super) fn submit_non_idempotent(&mut self, now: MonoMs, entry: Request) {
         let Some(ticket) = entry.submission.ticket else {
-            self.hand_out_ticket(now, &entry.submission);
+            self.issue_ticket(now, &entry.submission);
             return;
         };
         if ticket.home != self.options.incarnation {
-            self.pass_to_home(now, entry, ticket);
+            self.forward_to_home(now, entry, ticket);
             return;
         }
         let submission = &entry.submission;
@@ -38,8 +41,8 @@
             .tickets
             .claim(ticket, &submission.account, submission.fingerprint)
         {
-            // Once this daemon refuses new work, its unused tickets are closed for ever: it ends
-            // as this incarnation, and no other may run them.
+            // Once this daemon refuses new work, its unused tickets can never run: this incarnation
+            // ends, and no other may run them. So `not_run` stays true.
             TicketClaim::Run if self.refuses_new(now) => self.refuse_leaving(now, request),
             TicketClaim::Run => {
                 self.tickets.begin(ticket, request);
@@ -49,23 +52,23 @@
             TicketClaim::Wait => {
                 self.tickets.attach(ticket, request);
                 self.requests.attach(entry);
-                let text = "waits for the run under its ticket".to_owned();
-                self.decide(now, Subsystem::Requests, Some(request), text);
+                let text = "waits for the request that is running under its ticket".to_owned();
+                self.record_decision(now, Subsystem::Requests, Some(request), text);
             }
-            TicketClaim::Ended(outcome) => self.answer_ended(now, request, ticket, outcome),
-            TicketClaim::Renew => self.hand_out_ticket(now, submission),
+            TicketClaim::Ended(outcome) => self.answer_with_outcome(now, request, ticket, outcome),
+            TicketClaim::Renew => self.issue_ticket(now, submission),
             TicketClaim::OtherRequest => {
                 let message = "the ticket is for another request: send each under its own";
                 self.refuse(now, request, Reason::BadRequest, message, None);
             }
             TicketClaim::Unknown => {
-                let message = "this daemon has forgotten the ticket: the request may have run";
-                self.answer_unknown(now, request, Reason::TicketLost, message, None);
+                let message = "this daemon no longer knows the ticket: the request may have run";
+                self.finish_unknown(now, request, Reason::TicketLost, message, None);
             }
         }
     }
 
-    fn hand_out_ticket(&mut self, now: MonoMs, submission: &Submission) {
+    fn issue_ticket(&mut self, now: MonoMs, submission: &Submission) {
         let request = submission.request;
         if self.refuses_new(now) {
             self.refuse_leaving(now, request);
@@ -77,13 +80,19 @@
             .issue(now, &submission.account, key, submission.fingerprint);
         let ticket = match issued {
             Ok(ticket) => ticket,
-            Err(none @ TicketError::OtherRequest) => {
-                self.refuse(now, request, Reason::BadRequest, &none.to_string(), None);
+            Err(error @ TicketError::OtherRequest) => {
+                self.refuse(now, request, Reason::BadRequest, &error.to_string(), None);
                 return;
             }
-            Err(none @ TicketError::TooMany) => {
-                let retry = Some(MORE_TICKETS_MS);
-                self.refuse(now, request, Reason::AccountLimit, &none.to_string(), retry);
+            Err(error @ TicketError::TooMany) => {
+                let retry = Some(MORE_TICKETS_RETRY_MS);
+                self.refuse(
+                    now,
+                    request,
+                    Reason::AccountLimit,
+                    &error.to_string(),
+                    retry,
+                );
                 return;
             }
         };
@@ -93,37 +102,38 @@
                 request,
                 outcome: OutcomeKind::NotRun,
                 reason: Reason::TicketNeeded,
-                message: "this may not be repeated: send it again with this ticket".to_owned(),
+                message: "this request must not run twice: send it again with this ticket"
+                    .to_owned(),
                 retry_after_ms: Some(0),
                 ticket: Some(ticket),
             },
         );
     }
 
-    fn pass_to_home(&mut self, now: MonoMs, entry: Request, ticket: Ticket) {
+    fn forward_to_home(&mut self, now: MonoMs, entry: Request, ticket: Ticket) {
         let request = entry.submission.request;
         let forwarded = entry.submission.forwarded_by.is_some();
         let home = self.members.get(ticket.home);
         let alive = home.filter(|member| member.news.state != MemberState::Dead && !forwarded);
         let Some(member) = alive else {
-            // A home that was never heard of may be linked in a moment; a dead one never is.
+            // An unknown home may be linked soon, so a retry may succeed; a dead one never returns.
             let retry = home.is_none().then_some(HOME_RETRY_MS);
-            let message = "the ticket's home is gone: the request may have run";
-            self.answer_unknown(now, request, Reason::TicketLost, message, retry);
+            let message = "the daemon that issued the ticket is gone: the request may have run";
+            self.finish_unknown(now, request, Reason::TicketLost, message, retry);
             return;
         };
         let to = member.news.caller_address;
-        let text = format!("passed to its home {to}");
+        let text = format!("forwarded to the home of its ticket at {to}");
         self.requests.forward(entry);
-        self.decide(now, Subsystem::Requests, Some(request), text);
-        self.act(Action::Forward {
+        self.record_decision(now, Subsystem::Requests, Some(request), text);
+        self.emit(Action::Forward {
             request,
             to,
             home: ticket.home,
         });
     }
 
-    /// Notes what became of a request that was passed on to its ticket's home.
+    /// Handles the end of a request that was forwarded to the home of its ticket.
     pub(super) fn on_forward_ended(&mut self, now: MonoMs, request: RequestId, end: ForwardEnd) {
         let forwarded = self.requests.get(request);
         if !forwarded.is_some_and(|entry| matches!(entry.phase(), Phase::Forwarded)) {
@@ -131,18 +141,24 @@
         }
         match end {
             ForwardEnd::Answered => drop(self.requests.remove(request)),
-            // An earlier send of the same request may have reached the home, so that this is never
-            // told as not run.
+            // An earlier send of the same request may have reached the home, so this is never reported
+            // as `not_run`.
             ForwardEnd::Lost => {
-                let message = "the ticket's home gave no answer: the request may have run";
+                let message =
+                    "the daemon that issued the ticket gave no answer: the request may have run";
                 let retry = Some(HOME_RETRY_MS);
-                self.answer_unknown(now, request, Reason::TicketLost, message, retry);
+                self.finish_unknown(now, request, Reason::TicketLost, message, retry);
             }
         }
     }
 
-    /// Notes the end of a request in the state of its ticket, and ends those that wait for it.
-    pub(super) fn settle_ticket(&mut self, now: MonoMs, entry: &Request, outcome: &Outcome) {
+    /// Records the outcome of a request for its ticket, and answers the requests that wait for it.
+    pub(super) fn record_ticket_outcome(
+        &mut self,
+        now: MonoMs,
+        entry: &Request,
+        outcome: &Outcome,
+    ) {
         let Some(ticket) = entry.submission.ticket else {
             return;
         };
@@ -152,12 +168,13 @@
         }
         for request in self.tickets.end(now, ticket, outcome) {
             self.requests.remove(request);
-            self.answer_ended(now, request, ticket, outcome.clone());
+            self.answer_with_outcome(now, request, ticket, outcome.clone());
         }
     }
 
-    /// Answers with the outcome of the run under the ticket.
-    fn answer_ended(
+    /// Answers a request with the outcome of the run under its ticket, and with the kept answer if the run
+    /// completed.
+    fn answer_with_outcome(
         &mut self,
         now: MonoMs,
         request: RequestId,
@@ -169,22 +186,22 @@
             self.finish_with(now, &outcome);
             return;
         }
-        self.book.set_outcome(&outcome);
-        let text = "gets the kept answer of its ticket".to_owned();
-        self.decide(now, Subsystem::Requests, Some(request), text);
-        self.act(Action::Replay {
+        self.decision_history.set_outcome(&outcome);
+        let text = "answered with the kept answer of its ticket".to_owned();
+        self.record_decision(now, Subsystem::Requests, Some(request), text);
+        self.emit(Action::Replay {
             request,
             ticket,
             outcome,
         });
     }
 
-    /// Refuses a request before its ticket is looked at.
+    /// Refuses a request before it claims its ticket.
     ///
-    /// Guards against `not_run` being said of what has run: a request that names a ticket may be
-    /// sent again, and refusing the second send says nothing of the first. It is `not_run` only if
-    /// the ticket is at home here and nothing ran under it.
-    pub(super) fn refuse_at_door(
+    /// Guards against reporting `not_run` for a request that has run: a request that names a ticket may
+    /// be a resend, and refusing the resend proves nothing about the first send. The outcome is
+    /// `not_run` only if this daemon issued the ticket and nothing ran under it.
+    pub(super) fn refuse_before_claim(
         &mut self,
         now: MonoMs,
         submission: &Submission,
@@ -193,16 +210,16 @@
         retry_after_ms: Option<u64>,
     ) {
         let request = submission.request;
-        if self.close_unused(now, submission) {
+        if self.close_unused_ticket(now, submission) {
             self.refuse(now, request, reason, message, retry_after_ms);
         } else {
-            self.answer_unknown(now, request, reason, message, retry_after_ms);
+            self.finish_unknown(now, request, reason, message, retry_after_ms);
         }
     }
 
-    /// Closes the ticket that a request names. Returns whether nothing ran for the request and
-    /// nothing will.
-    fn close_unused(&mut self, now: MonoMs, submission: &Submission) -> bool {
+    /// Closes the ticket that a request names if it is unused. Returns whether the request hasn't run
+    /// and never will.
+    fn close_unused_ticket(&mut self, now: MonoMs, submission: &Submission) -> bool {
         let Some(ticket) = submission.ticket else {
             return true;
         };
@@ -219,7 +236,7 @@
         }
     }
 
-    fn answer_unknown(
+    fn finish_unknown(
         &mut self,
         now: MonoMs,
         request: RequestId,
--- a/crates/core/src/core/options.rs
+++ b/crates/core/src/core/options.rs
@@ -6,27 +6,27 @@
     },
 };
 
-/// What a daemon knows of itself when it starts.
+/// Identity, addresses and random seed of a daemon at its start.
 #[derive(Debug, Clone)]
 pub struct CoreOptions {
-    /// Its instance.
+    /// Name of the instance that the daemon runs on; it stays the same across restarts.
     pub instance: InstanceName,
-    /// Its failure domain.
+    /// Failure domain of the instance.
     pub failure_domain: FailureDomain,
-    /// This run, drawn at random.
+    /// Id of this run of the daemon, drawn at random at each start.
     pub incarnation: Incarnation,
-    /// Its address for callers.
+    /// Address at which callers reach the daemon.
     pub caller_address: SocketAddr,
-    /// Its address for peers.
+    /// Address at which peers reach the daemon.
     pub peer_address: SocketAddr,
-    /// Peer addresses of some other daemons.
+    /// Addresses at which to look for the first peers.
     pub seed_peers: Vec<SocketAddr>,
-    /// Seed of all chance.
+    /// Seed of the core's random numbers.
     pub seed: u64,
 }
 
 impl CoreOptions {
-    /// What a daemon that has just started tells of itself.
+    /// Returns the first announcement of the daemon to its peers.
     pub(crate) fn as_news(&self) -> MemberNews {
         MemberNews {
             incarnation: self.incarnation,
--- a/crates/core/src/core/reports.rs
+++ b/crates/core/src/core/reports.rs
@@ -1,4 +1,4 @@
-//! What callers and operators may read.
+//! Reports for callers and operators.
 
 use {
     super::Core,
@@ -14,13 +14,13 @@
     },
 };
 
-/// Most addresses that a caller is told.
-const MOST_ENTRIES: usize = 16;
+/// Maximum number of addresses that a caller receives.
+const MAX_ENTRIES: usize = 16;
 
 impl Core {
-    /// The addresses that callers may use: those of this failure domain first, each part shuffled so
-    /// that callers spread. None that is leaving, suspected or dead, by news or by the list, nor one
-    /// to which a link should be open and isn't.
+    /// Returns the addresses that callers may use. Those of this failure domain come first; both parts are
+    /// shuffled so that callers spread. Excludes daemons that are leaving, suspected or dead according to
+    /// news or the list, and those to which a link should be open but isn't.
     pub fn entries(&self) -> Entries {
         let own = Entry {
             address: self.options.caller_address,
@@ -30,25 +30,21 @@
         let others = self
             .members
             .alive()
-            .filter(|member| member.linked || !self.wanted.contains(member.news.peer_address))
+            .filter(|member| member.linked || !self.wanted_links.contains(member.news.peer_address))
             .filter(|member| !self.is_listed_leaving(&member.news.instance))
             .map(|member| Entry {
                 address: member.news.caller_address,
                 failure_domain: member.news.failure_domain.clone(),
             });
         let mut entries: Vec<Entry> = own.into_iter().chain(others).collect();
-        let seed = self.options.incarnation.0 as u64 ^ self.last_event.0;
+        let seed = self.options.incarnation.0 as u64 ^ self.last_event_at.0;
         fastrand::Rng::with_seed(seed).shuffle(&mut entries);
         let (mut near, mut far): (Vec<Entry>, Vec<Entry>) = entries
             .into_iter()
             .partition(|entry| entry.failure_domain == self.options.failure_domain);
-        // Some stand elsewhere, in case the whole failure domain goes.
-        far.truncate(
-            MOST_ENTRIES
-                .saturating_sub(near.len())
-                .max(MOST_ENTRIES / 2),
-        );
-        near.truncate(MOST_ENTRIES - far.len());
+        // Some are in other failure domains, in case this whole failure domain fails.
+        far.truncate(MAX_ENTRIES.saturating_sub(near.len()).max(MAX_ENTRIES / 2));
+        near.truncate(MAX_ENTRIES - far.len());
         near.extend(far);
         Entries {
             entries: near,
@@ -57,17 +53,17 @@
     }
 
     fn is_listed_leaving(&self, instance: &InstanceName) -> bool {
-        let mut listed = self.list.iter().flat_map(|list| &list.daemons);
+        let mut listed = self.instance_list.iter().flat_map(|list| &list.daemons);
         listed.any(|daemon| daemon.instance == *instance && daemon.state == ListedState::Leaving)
     }
 
-    /// The state of this daemon.
+    /// Returns the status of this daemon, its peers and targets.
     pub fn status(&self, now: MonoMs) -> StatusReport {
         StatusReport {
             instance: self.options.instance.clone(),
             incarnation: self.options.incarnation,
             failure_domain: self.options.failure_domain.clone(),
-            uptime_ms: now.since(self.started),
+            uptime_ms: now.since(self.started_at),
             leaving: self.leaving_since.is_some(),
             requests_in_flight: self.requests.len() as u64,
             platform: PlatformStatus {
@@ -123,7 +119,7 @@
         }
     }
 
-    /// The records and where they are in force.
+    /// Returns the records and the instances where they are in force.
     pub fn records_report(&self) -> RecordsReport {
         RecordsReport {
             instance: self.options.instance.clone(),
@@ -132,7 +128,8 @@
         }
     }
 
-    /// Instances known to hold the same records as this one in a bucket, this one among them.
+    /// Returns the instances known to have the same records in a bucket as this one, including itself,
+    /// sorted.
     fn holders(&self, bucket: usize) -> Vec<InstanceName> {
         let mut holders: Vec<InstanceName> = self
             .links
@@ -145,8 +142,8 @@
         holders
     }
 
-    /// Why a request went where it did.
+    /// Returns the decisions about a request; `None` if they were never recorded or have been evicted.
     pub fn decision_report(&self, request: RequestId) -> Option<DecisionReport> {
-        self.book.report(request).cloned()
+        self.decision_history.report(request).cloned()
     }
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,8 @@
-//! Every decision of whinlatch, without sockets, clocks or threads.
+//! Decision logic of whinlatch, without sockets, clocks or threads.
 //!
 //! [`Core::handle`] takes the time and an [`Event`] and returns [`Action`]s for the process around
-//! it to carry out. Chance comes from a seed, so one seed and one order of events give one verdict.
+//! it to carry out. Random numbers come from a seed, so the same seed and the same sequence of events
+//! give the same decisions.
 
 mod action;
 mod core;
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -84,7 +84,7 @@
     /// The attempt in flight, if any.
     pub fn in_flight_attempt(&self) -> Option<&InFlightAttempt> {
         match &self.phase {
-            Phase::InFlight(flight) => Some(flight),
+            Phase::InFlight(in_flight) => Some(in_flight),
             _ => None,
         }
     }
@@ -114,16 +114,16 @@
         self.caller_gone
     }
 
-    pub(super) fn begin(&mut self, flight: InFlightAttempt) {
-        self.tried.push(flight.target.clone());
-        self.phase = Phase::InFlight(flight);
+    pub(super) fn begin(&mut self, in_flight: InFlightAttempt) {
+        self.tried.push(in_flight.target.clone());
+        self.phase = Phase::InFlight(in_flight);
     }
 
     pub(super) fn end_attempt(&mut self, end: AttemptEnd) -> Option<InFlightAttempt> {
-        let Phase::InFlight(flight) = std::mem::replace(&mut self.phase, Phase::Queued) else {
+        let Phase::InFlight(in_flight) = std::mem::replace(&mut self.phase, Phase::Queued) else {
             return None;
         };
         self.ran_before |= end == AttemptEnd::MayHaveRun;
-        Some(flight)
+        Some(in_flight)
     }
 }
--- a/crates/core/src/requests/request_table.rs
+++ b/crates/core/src/requests/request_table.rs
@@ -36,7 +36,7 @@
     /// Marks a request as dispatched. Called before the first byte is written, so that `not_run` is
     /// never reported for a request whose bytes may already be under way. Returns `false`, and changes
     /// nothing, if no attempt may be dispatched.
-    pub fn mark_dispatched(&mut self, request: RequestId, flight: InFlightAttempt) -> bool {
+    pub fn mark_dispatched(&mut self, request: RequestId, in_flight: InFlightAttempt) -> bool {
         let Some(entry) = self.by_id.get_mut(&request) else {
             return false;
         };
@@ -44,15 +44,16 @@
             return false;
         }
         self.held.remove(&request);
-        self.by_attempt.insert(flight.attempt, request);
-        entry.begin(flight);
+        self.by_attempt.insert(in_flight.attempt, request);
+        entry.begin(in_flight);
         true
     }
 
     /// Records that the first chunk of the answer arrived.
     pub fn mark_first_chunk(&mut self, request: RequestId) {
-        if let Some(Phase::InFlight(flight)) = self.by_id.get_mut(&request).map(|e| &mut e.phase) {
-            flight.first_chunk = true;
+        if let Some(Phase::InFlight(in_flight)) = self.by_id.get_mut(&request).map(|e| &mut e.phase)
+        {
+            in_flight.first_chunk = true;
         }
     }
 
@@ -103,8 +104,8 @@
         let entry = self.by_id.remove(&request)?;
         self.by_deadline.remove(&(entry.deadline, request));
         self.held.remove(&request);
-        if let Some(flight) = entry.in_flight_attempt() {
-            self.by_attempt.remove(&flight.attempt);
+        if let Some(in_flight) = entry.in_flight_attempt() {
+            self.by_attempt.remove(&in_flight.attempt);
         }
         Some(entry)
     }
