--- a/crates/core/tests/invariants_world/step.rs
+++ b/crates/core/tests/invariants_world/step.rs
@@ -1,4 +1,5 @@
-//! What may happen next, in any order.
+//! Random steps of the simulation, in any order. The saved cases in `invariants_requests.regressions` name
+//! these variants in their comments.
 
 use {
     super::{Answer, DAEMONS, JOBS},
@@ -8,11 +9,13 @@
 
 #[derive(Debug, Clone)]
 pub enum Step {
+    /// Submits a call that must not run twice.
     AskOnce {
         daemon: usize,
         job: usize,
         deadline_ms: u64,
     },
+    /// Submits a prompt.
     Ask {
         daemon: usize,
         deadline_ms: u64,
@@ -28,6 +31,7 @@
         which: usize,
         seen: bool,
     },
+    /// Delivers a refusal on the connection of another attempt.
     Cross {
         which: usize,
     },
@@ -40,10 +44,12 @@
     Freeze {
         daemon: usize,
     },
+    /// Freezes a daemon that has handled an answer, before it carries out the actions.
     FreezeAmid {
         daemon: usize,
         which: usize,
     },
+    /// Resumes a frozen daemon.
     Wake {
         daemon: usize,
     },
