--- a/crates/core/src/core/links.rs
+++ b/crates/core/src/core/links.rs
@@ -107,9 +107,9 @@
         }
     }
 
-    fn close_link(&mut self, peer: Incarnation, intended: bool) {
+    fn close_link(&mut self, peer: Incarnation, on_purpose: bool) {
         self.links.on_closed(Some(peer));
-        self.members.on_link_closed(peer, intended);
+        self.members.on_link_closed(peer, on_purpose);
         self.pulls.on_link_closed(peer);
         self.emit(Action::Unlink { peer });
     }
--- a/crates/core/src/core/on_platform.rs
+++ b/crates/core/src/core/on_platform.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Applies the last list again: it may state that a target is leaving that new records name.
+    /// Applies the last list again after records changed, since new records may name targets that it lists.
     pub(super) fn reapply_list(&mut self, now: MonoMs) {
         if let Some(list) = self.instance_list.clone() {
             self.apply_list(now, &list);
--- a/crates/core/src/core/on_poison.rs
+++ b/crates/core/src/core/on_poison.rs
@@ -35,13 +35,13 @@
             })
             .map(|entry| entry.submission.fingerprint)
             .collect();
-        let others = self.has_other_work(&in_flight.target, fingerprints.len());
+        let has_other_work = self.has_other_work(&in_flight.target, fingerprints.len());
         self.poison.record_broken_attempt(
             now,
             &in_flight.target,
             in_flight.incarnation,
             fingerprints.into_iter(),
-            others,
+            has_other_work,
         );
     }
 
--- a/crates/core/src/core/on_tick.rs
+++ b/crates/core/src/core/on_tick.rs
@@ -7,7 +7,7 @@
 };
 
 /// Gap between events from which on the process is considered to have been paused, in ms.
-const MIN_PAUSE_MS: u64 = 2_000;
+const PAUSE_THRESHOLD_MS: u64 = 2_000;
 /// Interval between evictions of expired state, in ms.
 const EVICTION_INTERVAL_MS: u64 = 1_000;
 
@@ -27,7 +27,7 @@
         let gap_ms = now.since(self.last_event_at);
         self.last_event_at = now;
         self.expire_requests(now);
-        if gap_ms > MIN_PAUSE_MS {
+        if gap_ms > PAUSE_THRESHOLD_MS {
             let text = format!("the process was paused for {gap_ms} ms: the view is stale");
             self.record_decision(now, Subsystem::Fleet, None, text);
             self.refresh = Some(ResumeRefresh::new(now));
--- a/crates/core/src/fleet/members.rs
+++ b/crates/core/src/fleet/members.rs
@@ -23,7 +23,7 @@
     Changed,
     /// The update suspects this daemon, which raised its version to refute it.
     Refuted,
-    /// The update says that another run has replaced this daemon.
+    /// According to the update, another run has replaced this daemon.
     Superseded,
 }
 
@@ -83,13 +83,13 @@
             .entry(hello.incarnation)
             .or_insert_with(|| Member::new(now, &news));
         member.linked = true;
-        member.judged_by_link = true;
+        member.uses_link_timeout = true;
         member.record_sign_of_life(now);
         self.supersede(now, &news)
     }
 
-    /// Declares former runs on the same instance or peer address dead, unless they are still heard
-    /// from: then two processes share a name by mistake, and neither proves the other's end.
+    /// Declares former runs on the same instance or peer address dead, unless they still show
+    /// signs of life: then two processes share a name by mistake, and neither proves the other's end.
     fn supersede(&mut self, now: MonoMs, newer: &MemberNews) -> Vec<MemberNews> {
         self.by_incarnation
             .values_mut()
@@ -107,12 +107,12 @@
             .collect()
     }
 
-    /// Records that a link closed. If it was closed by a failure and not on purpose, the silence of
-    /// the peer keeps being judged by the link's short timeout.
+    /// Records that a link closed. If it was closed by a failure and not on purpose, the link's short
+    /// silence timeout still applies to the peer.
     pub fn on_link_closed(&mut self, peer: Incarnation, on_purpose: bool) {
         if let Some(member) = self.by_incarnation.get_mut(&peer) {
             member.linked = false;
-            member.judged_by_link &= !on_purpose;
+            member.uses_link_timeout &= !on_purpose;
         }
     }
 
@@ -145,10 +145,10 @@
                     return MergeResult::Unchanged;
                 }
                 if news.state == MemberState::Alive {
-                    // Its refutation came through other daemons, so those judge it until a link to
-                    // it opens.
+                    // Its refutation came through other daemons, so the timeout of daemons without a
+                    // link applies until a link to it opens.
                     member.record_sign_of_life(now);
-                    member.judged_by_link = member.linked;
+                    member.uses_link_timeout = member.linked;
                 }
                 member.news = news.clone();
                 member.state_since = now;
@@ -190,8 +190,8 @@
         changes
     }
 
-    /// Handles a pause of this process, during which it could hear nobody: all silence is counted
-    /// afresh, and timeouts are longer for a while.
+    /// Handles a pause of this process, during which it received nothing: all silence is counted from
+    /// `now`, and timeouts are longer for a while.
     pub fn on_process_resumed(&mut self, now: MonoMs) {
         self.local_health.add_penalty(now);
         for member in self.by_incarnation.values_mut() {
--- a/crates/core/src/fleet/members/member.rs
+++ b/crates/core/src/fleet/members/member.rs
@@ -34,11 +34,11 @@
     pub linked: bool,
     /// Whether the link's short silence timeout applies: from the time the link opened until it was
     /// closed on purpose, or until the daemon refuted a suspicion through others.
-    pub(super) judged_by_link: bool,
+    pub(super) uses_link_timeout: bool,
     /// Highest beat seen in a stamp of it; a higher one is a sign of life.
     pub(super) highest_beat: u64,
     /// Time of the last sign of life, unaffected by pauses of this process; decides whether others
-    /// are told that it is alive.
+    /// receive a stamp that it is alive.
     pub(super) confirmed_alive_at: MonoMs,
     /// Time of the last change of its state; suspected and dead members are evicted by it.
     pub(super) state_since: MonoMs,
@@ -59,7 +59,7 @@
             last_seen_at: now,
             silence_reset_at: now,
             linked: false,
-            judged_by_link: false,
+            uses_link_timeout: false,
             highest_beat: 0,
             confirmed_alive_at: now,
             state_since: now,
@@ -101,7 +101,7 @@
     pub(super) fn evaluate(&self, now: MonoMs, penalty: u64) -> Verdict {
         let silent_ms = self.silent_ms(now);
         let in_state_ms = now.since(self.state_since);
-        let allowed_ms = if self.judged_by_link {
+        let allowed_ms = if self.uses_link_timeout {
             SUSPECT_TIMEOUT_MS * (1 + penalty)
         } else {
             UNLINKED_SUSPECT_TIMEOUT_MS
--- a/crates/core/src/records/platform_reader.rs
+++ b/crates/core/src/records/platform_reader.rs
@@ -45,7 +45,7 @@
     List,
 }
 
-/// Schedules reads of the platform and judges whether their answers can be trusted.
+/// Schedules reads of the platform and decides whether their answers can be trusted.
 ///
 /// The platform may come back from an outage in an older state. Its records can't undo anything,
 /// since merging records is a join. But a watch that continues after a revision which the platform
--- a/crates/core/src/records/record_store.rs
+++ b/crates/core/src/records/record_store.rs
@@ -98,7 +98,7 @@
 
     fn store_rejected(&mut self, envelope: &RecordEnvelope, fault: RecordFault) -> Merge {
         let former = match self.held.get(&envelope.key) {
-            // An invalid revision that isn't the newest is of no use to anyone.
+            // An invalid revision that isn't the newest never comes into force.
             Some(held) if rank(&held.newest) > rank(envelope) => return Merge::Old,
             Some(held) if held.fault.is_none() => Some(held.newest.clone()),
             Some(held) => held.former.clone(),
--- a/crates/core/src/requests/poison_tracker.rs
+++ b/crates/core/src/requests/poison_tracker.rs
@@ -74,17 +74,17 @@
 
 impl PoisonTracker {
     /// Records that an attempt broke off at a run of a target. `in_flight` are the fingerprints of this
-    /// daemon's requests there; `others` tells whether other daemons had work there.
+    /// daemon's requests there; `has_other_work` is whether other daemons had work there.
     pub fn record_broken_attempt(
         &mut self,
         now: MonoMs,
         target: &TargetName,
         incarnation: Incarnation,
         in_flight: impl Iterator<Item = u64>,
-        others: bool,
+        has_other_work: bool,
     ) {
         self.crashed_targets
-            .record(now, target, incarnation, in_flight, others);
+            .record(now, target, incarnation, in_flight, has_other_work);
     }
 
     /// Resolves targets where attempts broke off: records a crash for each one that died. Returns the
--- a/crates/core/src/requests/resume_refresh.rs
+++ b/crates/core/src/requests/resume_refresh.rs
@@ -48,10 +48,10 @@
 
     /// Whether the target has answered, or failed to answer, a read sent since the process resumed.
     fn has_answered(self, state: &TargetState) -> bool {
-        let asked = state
+        let is_requested = state
             .report_requested_at
-            .is_some_and(|asked| asked >= self.since);
-        asked && (state.reported_at >= self.since || state.missed_reports > 0)
+            .is_some_and(|requested_at| requested_at >= self.since);
+        is_requested && (state.reported_at >= self.since || state.missed_reports > 0)
     }
 
     /// Whether a linked peer has sent a message since the process resumed, or none is linked.
--- a/crates/core/src/requests/ticket_table.rs
+++ b/crates/core/src/requests/ticket_table.rs
@@ -22,7 +22,7 @@
 /// ticket becomes `Closed` directly.
 ///
 /// `Closed` guards against a run after `not_run` was reported: a duplicate of the request may be
-/// delayed at another daemon and would run after its caller was told that it didn't. No request is
+/// delayed at another daemon and would run after its caller received `not_run`. No request is
 /// ever dispatched under a closed ticket; a caller that retries gets a new one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum TicketState {
@@ -187,7 +187,7 @@
     /// Removes a request that no longer waits.
     pub fn detach(&mut self, ticket: Ticket, request: RequestId) {
         if let Some(TicketState::InFlight { waiting, .. }) = self.state_mut(ticket) {
-            waiting.retain(|waiter| *waiter != request);
+            waiting.retain(|other| *other != request);
         }
     }
 
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -134,7 +134,7 @@
             if chosen.is_ok() {
                 return chosen;
             }
-            // Engines that are away may return: the prompt is too long only if all engines together,
+            // Engines that aren't live may return: the prompt is too long only if all engines together,
             // live or not, can't hold it.
             let memory: u64 = list.iter().map(|candidate| candidate.memory_tokens).sum();
             if memory >= tokens_of(request.work) {
@@ -151,9 +151,10 @@
         share: &ProviderShare,
         usable: usize,
     ) -> usize {
-        let part = f64::from(share.share_per_mille) / 1_000.0;
+        let fraction = f64::from(share.share_per_mille) / 1_000.0;
         let policy = context.in_force.policy();
-        self.reserve.targets(policy, usable, context.daemons, part)
+        self.reserve
+            .targets(policy, usable, context.daemons, fraction)
     }
 
     /// Draws the provider of a long prompt and charges the prompt to it immediately, since its engines
--- a/crates/core/src/routing/short_prompt_reserve.rs
+++ b/crates/core/src/routing/short_prompt_reserve.rs
@@ -37,13 +37,13 @@
     }
 
     /// Returns how many of `usable` targets to keep free of long prompts. Assumes that `daemons` send
-    /// as much as this one, and that the fraction `part` of it goes to these targets.
+    /// as much as this one, and that `fraction` of it goes to these targets.
     pub fn targets(
         &self,
         policy: &PolicyRecord,
         usable: usize,
         daemons: usize,
-        part: f64,
+        fraction: f64,
     ) -> usize {
         let short = policy.short_slowdown_weight - policy.long_first_token_weight;
         if short <= 0.0 || DISABLED {
@@ -51,7 +51,7 @@
         }
         let utilization =
             MAX_UTILIZATION_LONG + (MAX_UTILIZATION_SHORT - MAX_UTILIZATION_LONG) * short;
-        let demand = (self.rate + (self.peak - self.rate) * short) * daemons as f64 * part;
+        let demand = (self.rate + (self.peak - self.rate) * short) * daemons as f64 * fraction;
         let wanted = (demand / utilization).ceil() as usize;
         wanted.min(usable.saturating_sub(1))
     }
--- a/crates/core/tests/peers_suite/members_view.rs
+++ b/crates/core/tests/peers_suite/members_view.rs
@@ -105,7 +105,7 @@
 }
 
 // A daemon is replaced on its instance. The former run is dead immediately and stays so, whatever a
-// daemon that missed this says of it later.
+// daemon that missed this reports of it later.
 #[test]
 fn a_new_run_on_the_same_instance_replaces_the_former_for_good() {
     let mut fleet = started_fleet(4, 1);
@@ -197,8 +197,8 @@
 }
 
 // One direction between two daemons fails while all others reach both. The two suspect each other
-// once, refute it through the others, and are judged by those from then on: suspicions must not
-// repeat every few seconds, and the two must be linked again after the failure.
+// once and refute it through the others, whose stamps count from then on: suspicions must not repeat
+// every few seconds, and the two must be linked again after the failure.
 #[test]
 fn a_one_way_failure_between_two_leaves_both_in_the_fleet() {
     let mut fleet = started_fleet(6, 3);
--- a/crates/core/tests/policy/load_tracker.rs
+++ b/crates/core/tests/policy/load_tracker.rs
@@ -83,7 +83,7 @@
 #[test]
 fn an_older_load_of_a_peer_is_ignored_however_late_it_comes() {
     // An idle engine got no long prompts: a peer reported a prompt and later its end, then a third
-    // daemon passed on the first report again, and the old copy was believed.
+    // daemon passed on the first report again, and the old copy was applied.
     let mut tracker = LoadTracker::default();
     assert!(tracker.apply_peer_load(MonoMs(0), &peer_load(1, 9_000, 8_000)));
     assert!((tracker.remaining(MonoMs(0)).long_ms - 8_000.0).abs() < 1e-9);
