--- a/crates/serving/src/engines/engine_load.rs
+++ b/crates/serving/src/engines/engine_load.rs
@@ -44,11 +44,11 @@
 }
 
 impl UnreadPart {
-    /// Reads the part for up to `spent_ms`, and subtracts the time taken from it.
-    fn read(&mut self, spent_ms: &mut f64) {
-        let read_ms = spent_ms.min(self.left_ms);
+    /// Reads the part for up to `available_ms`, and subtracts the time taken from it.
+    fn read(&mut self, available_ms: &mut f64) {
+        let read_ms = available_ms.min(self.left_ms);
         self.left_ms -= read_ms;
-        *spent_ms -= read_ms;
+        *available_ms -= read_ms;
     }
 }
 
@@ -72,7 +72,8 @@
 /// their first. An engine that writes no stream reads one prompt after the other.
 #[derive(Debug, Clone, Default)]
 pub struct EngineLoad {
-    /// Parts to be read, in order of arrival. A part that the engine answers stays until its first event.
+    /// Parts to be read, in order of arrival. The part of a prompt that the engine answers stays, read or
+    /// not, until the first event is reported.
     pub parts: Vec<UnreadPart>,
     /// Streams that the engine writes.
     pub streams: Vec<WritingStream>,
@@ -80,9 +81,9 @@
     pub memory_tokens: u64,
     /// Observed or reported slowdown against the published speed; 1 is the published speed.
     pub pace: f64,
-    /// Number of unfinished prompts that it reads or has read a part of as a helper.
+    /// Number of unfinished prompts of which it reads, or has read, a part as a helper.
     pub helping: usize,
-    /// Share of the prompts that it was to answer and failed.
+    /// Share of the prompts that it was to answer but failed.
     pub failures: FailureShare,
     /// Actual against predicted length of the passes since the pace was last evaluated.
     pass_ratios: Vec<f64>,
@@ -160,8 +161,8 @@
         true
     }
 
-    /// Compares the time between two events with the predicted length of the pass. Returns whether the pace
-    /// changed.
+    /// Records how the time between two events compares with the predicted length of the pass. Every
+    /// `PACE_PASSES` passes the fastest one sets the pace. Returns whether the pace changed.
     fn record_pass(&mut self, observed_ms: f64, predicted_ms: f64) -> bool {
         self.pass_ratios.push(observed_ms / predicted_ms.max(1.0));
         if self.pass_ratios.len() < PACE_PASSES {
@@ -204,14 +205,14 @@
     }
 
     fn read_in_sequence(&mut self, now_ms: f64) {
-        let mut spent_ms = (now_ms - self.advanced_to_ms).max(0.0);
+        let mut available_ms = (now_ms - self.advanced_to_ms).max(0.0);
         let prioritized = self.parts.iter_mut().rev().filter(|part| part.goes_first);
         for part in prioritized {
-            part.read(&mut spent_ms);
+            part.read(&mut available_ms);
         }
         let others = self.parts.iter_mut().filter(|part| !part.goes_first);
         for part in others {
-            part.read(&mut spent_ms);
+            part.read(&mut available_ms);
         }
         self.parts
             .retain(|part| part.left_ms > 0.0 || !part.is_helper);
@@ -244,7 +245,7 @@
         self.total_ms()
     }
 
-    /// Returns the reading time until one of the parts has been read, in ms, itself included.
+    /// Returns the time to read the part at `index` and all parts ahead of it, in ms.
     pub fn ends_in_ms(&self, index: usize) -> f64 {
         let part = &self.parts[index];
         let is_ahead = |other: usize| {
@@ -290,7 +291,8 @@
         self.streams.retain(|stream| stream.job != job);
     }
 
-    /// Returns the number of slots in use: prompts that the engine answers, read or written.
+    /// Returns the number of slots in use: one for each prompt that the engine answers, whether it still
+    /// reads the prompt or writes the answer.
     pub fn running(&self) -> usize {
         let reading = self.parts.iter().filter(|part| !part.is_helper).count();
         reading + self.streams.len()
--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -14,7 +14,7 @@
 /// that only prompts whose report was lost are evicted.
 const JOB_TTL_MS: u64 = 30_000;
 
-/// A prompt that some instance of the fleet has sent to engines and that isn't over.
+/// A prompt in flight: some instance of the fleet has sent it to engines, and its end wasn't reported.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The prompt and its engines, as chosen here or reported by a peer.
@@ -24,7 +24,7 @@
     /// When the prompt was recorded here.
     pub sent_at: MonoMs,
     /// Whether the first event was reported.
-    pub has_begun: bool,
+    pub has_started: bool,
 }
 
 /// Predicted load of the engines, and the prompts of this instance and its peers in flight on them.
@@ -66,7 +66,7 @@
             .utilization(now, engines)
     }
 
-    /// Returns a prompt that isn't over.
+    /// Returns a prompt in flight; `None` if it has ended or isn't known.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
@@ -111,7 +111,7 @@
             placed,
             group,
             sent_at: now,
-            has_begun: false,
+            has_started: false,
         };
         self.jobs.insert(job.placed.job, job);
     }
@@ -121,7 +121,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        if std::mem::replace(&mut job.has_begun, true) {
+        if std::mem::replace(&mut job.has_started, true) {
             return;
         }
         let placed = job.placed.clone();
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -43,7 +43,7 @@
     pub revision: u64,
     /// Whether it serves requests.
     pub ready: bool,
-    /// Whether it was ordered to stop.
+    /// Whether it was ordered to stop. This can't be undone within a run.
     pub leaving: bool,
     /// Time of this statement, in ms by the instance's own clock. Of two statements of one run the later
     /// one wins, in whichever order they arrive.
@@ -222,7 +222,8 @@
     /// The instances from which the sender receives frames, sent by hubs.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub roster: Option<Roster>,
-    /// Whether `placed` lists all prompts that the sender has in flight.
+    /// Whether `placed` lists all prompts that the sender has in flight and the receiver is to know. The
+    /// receiver removes the sender's other prompts.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub is_snapshot: bool,
     /// Request for what the sender lacks, if it lags behind.
@@ -261,7 +262,7 @@
     /// Prompts that have ended.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub ended: Vec<JobId>,
-    /// Targets to which connections fail.
+    /// Targets to which a connection failed, and engines that failed to help.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub unreachable: Vec<TargetId>,
     /// Runs of targets that have announced that they leave.
@@ -270,9 +271,9 @@
     /// Targets that have set, changed or lifted a rate limit.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub limits: Vec<TargetLimit>,
-    /// Entries whose targets aren't at their published addresses.
-    #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub displaced: Vec<AddressTakeover>,
+    /// Entries at whose addresses another target answers.
+    #[serde(rename = "displaced", skip_serializing_if = "Vec::is_empty")]
+    pub takeovers: Vec<AddressTakeover>,
     /// Engines whose observed pace has changed.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub paces: Vec<EnginePace>,
--- a/crates/serving/src/fleet/known_member.rs
+++ b/crates/serving/src/fleet/known_member.rs
@@ -21,6 +21,8 @@
     pub last_seen_at: MonoMs,
     /// Number of groups into which it divides the engines, 0 if it hasn't reported one.
     pub engine_groups: u32,
+    /// When it last sent a frame to this instance. [`Self::suspect`] moves it back to bring the timeout
+    /// forward.
     last_frame_at: Option<MonoMs>,
     link_requested_at: Option<MonoMs>,
 }
@@ -65,7 +67,7 @@
     }
 
     /// Returns whether the instance has recently requested a link.
-    pub fn wants_link(&self, now: MonoMs) -> bool {
+    pub fn has_requested_link(&self, now: MonoMs) -> bool {
         self.link_requested_at
             .is_some_and(|at| now.since(at) < LINK_REQUEST_TTL_MS)
     }
@@ -92,7 +94,8 @@
             .map(|last_frame_at| last_frame_at.min(latest));
     }
 
-    /// Restarts the silence timeout after a time in which this process could not receive anything.
+    /// Restarts the silence timeout, after a time in which this process could not receive frames. Has no
+    /// effect on an instance that has never sent one.
     pub fn reset_silence(&mut self, now: MonoMs) {
         if self.last_frame_at.is_some() {
             self.record_frame(now);
--- a/crates/serving/src/fleet/membership.rs
+++ b/crates/serving/src/fleet/membership.rs
@@ -27,10 +27,13 @@
 #[derive(Debug, Default)]
 pub struct Membership {
     known: HashMap<SocketAddr, KnownMember>,
+    /// Addresses that peers reported and at which no instance is known yet, and when they were reported.
     learned_addresses: HashMap<SocketAddr, MonoMs>,
     seeds: Vec<SocketAddr>,
+    /// Instances as of the last [`Self::roster_changes`]; empty while this instance is no hub.
     announced: HashMap<SocketAddr, Member>,
     ranks: Ranks,
+    /// Largest number of instances known at the same time, 0 before any other is known.
     peak_size: usize,
 }
 
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Sets the seed addresses from the settings.
+    /// Replaces the seed addresses, at which peers may be found. This instance's own is left out.
     pub fn add_seeds(&mut self, own: SocketAddr, addresses: &[SocketAddr]) {
         let others = addresses.iter().filter(|address| **address != own);
         self.seeds = others.copied().collect();
@@ -168,32 +171,32 @@
         own: SocketAddr,
         groups: &[EngineGroup],
     ) -> HashSet<SocketAddr> {
-        let mut wanted: HashSet<SocketAddr> = self.learned_addresses.keys().copied().collect();
+        let mut needed: HashSet<SocketAddr> = self.learned_addresses.keys().copied().collect();
         let hubs = self.ranks.hubs();
         let is_hub = hubs.contains(&own);
         if is_hub || !self.is_large() {
-            wanted.extend(self.known.keys());
+            needed.extend(self.known.keys());
         }
         let responsive_hubs = hubs
             .iter()
             .filter_map(|hub| self.known.get(hub))
             .filter(|hub| hub.is_responsive(now, 0));
         if is_hub || !self.is_large() || responsive_hubs.count() < MIN_RESPONSIVE_HUBS {
-            wanted.extend(&self.seeds);
+            needed.extend(&self.seeds);
         }
-        wanted.extend(hubs.iter().copied());
+        needed.extend(hubs.iter().copied());
         for group in groups {
-            wanted.extend(self.ranks.deciders(*group));
+            needed.extend(self.ranks.deciders(*group));
         }
-        wanted.remove(&own);
-        wanted
+        needed.remove(&own);
+        needed
     }
 
     /// Returns the addresses of the instances that have requested a link.
     pub fn link_requesters(&self, now: MonoMs) -> impl Iterator<Item = SocketAddr> {
         self.known
             .iter()
-            .filter(move |(_, known)| known.wants_link(now))
+            .filter(move |(_, known)| known.has_requested_link(now))
             .map(|(address, _)| *address)
     }
 
@@ -313,13 +316,13 @@
         (first != own && count > 0).then_some(count)
     }
 
-    /// Returns the runs that are considered dead; their prompts have ended or are about to.
+    /// Returns the runs of the instances that are considered dead; their prompts have ended or are about to.
     pub fn silent_runs(&self, now: MonoMs) -> Vec<u64> {
-        let fresh: HashSet<u64> = self.live_members(now).map(|member| member.run).collect();
+        let alive: HashSet<u64> = self.live_members(now).map(|member| member.run).collect();
         self.known
             .values()
             .map(|known| known.member.run)
-            .filter(|run| !fresh.contains(run))
+            .filter(|run| !alive.contains(run))
             .collect()
     }
 
@@ -332,7 +335,10 @@
     }
 
     /// Returns the largest number of instances known at the same time, including this one: the number that
-    /// shares the retry budget.
+    /// shares the retry budget. It doesn't fall when instances go silent, since they may only be cut off
+    /// and still use their shares.
+    ///
+    /// An instance with seeds that has found no other yet assumes `ASSUMED_FLEET_SIZE`.
     pub fn peak_size(&self) -> usize {
         if self.peak_size == 0 && !self.seeds.is_empty() {
             return ASSUMED_FLEET_SIZE;
@@ -342,12 +348,12 @@
 
     /// Removes instances and addresses that were last seen too long ago.
     pub fn evict_expired(&mut self, now: MonoMs) {
-        let fresh: HashSet<SocketAddr> = self
+        let alive: HashSet<SocketAddr> = self
             .live_members(now)
             .map(|member| member.peer_address)
             .collect();
         self.known.retain(|address, known| {
-            if fresh.contains(address) {
+            if alive.contains(address) {
                 known.last_seen_at = now;
             }
             now.since(known.last_seen_at) < MEMBER_RETENTION_MS
--- a/crates/serving/src/fleet/ranks.rs
+++ b/crates/serving/src/fleet/ranks.rs
@@ -19,10 +19,10 @@
 pub struct Ranks {
     is_large: bool,
     hubs: Vec<SocketAddr>,
-    /// Ready instances, by descending processor time.
-    serving: Vec<SocketAddr>,
+    /// Instances that serve requests, by descending processor time.
+    ready: Vec<SocketAddr>,
     /// Instances of this one's failure domain, by descending processor time.
-    near: Vec<SocketAddr>,
+    in_own_domain: Vec<SocketAddr>,
 }
 
 impl Ranks {
@@ -39,16 +39,16 @@
             (Reverse(member.cpu_millis), tie_breaker)
         });
         let address = |member: &&Member| member.peer_address;
-        let hubs = if is_large { HUB_COUNT } else { 0 };
+        let hub_count = if is_large { HUB_COUNT } else { 0 };
         Self {
             is_large,
-            hubs: members.iter().take(hubs).map(address).collect(),
-            near: members
+            hubs: members.iter().take(hub_count).map(address).collect(),
+            in_own_domain: members
                 .iter()
                 .filter(|member| member.failure_domain == *domain)
                 .map(address)
                 .collect(),
-            serving: members
+            ready: members
                 .iter()
                 .filter(|member| member.ready)
                 .map(address)
@@ -63,12 +63,12 @@
 
     /// Returns the instances of this one's failure domain, including this one, by descending processor time.
     pub fn in_own_domain(&self) -> &[SocketAddr] {
-        &self.near
+        &self.in_own_domain
     }
 
-    /// Returns the ready instances, by descending processor time.
-    pub fn serving(&self) -> &[SocketAddr] {
-        &self.serving
+    /// Returns the instances that serve requests, by descending processor time.
+    pub fn ready(&self) -> &[SocketAddr] {
+        &self.ready
     }
 
     /// Returns whether there are too many instances for each to link to all others.
@@ -91,10 +91,10 @@
     /// processor time on receiving those of all others.
     pub fn deciders(&self, group: EngineGroup) -> Vec<SocketAddr> {
         if !self.is_large {
-            return self.serving.clone();
+            return self.ready.clone();
         }
         let strongest = self
-            .serving
+            .ready
             .iter()
             .take(DECIDERS_PER_GROUP * group.count as usize);
         let mut pool: Vec<SocketAddr> = strongest.copied().collect();
--- a/crates/serving/src/mechanism.rs
+++ b/crates/serving/src/mechanism.rs
@@ -19,11 +19,11 @@
     Exposure,
     /// Counts the expected first pause of the prompt itself.
     OwnPause,
-    /// Counts longer first pauses of prompts that haven't begun yet.
+    /// Counts longer first pauses of prompts that haven't had their first event.
     FirstPauses,
     /// Discounts an answer that is likely but not certain to be on time.
     Risk,
-    /// Counts the delay of waiting prompts.
+    /// Counts the loss of waiting prompts that are read later.
     Delays,
     /// Lets an instance that knows little of its peers prefer the engines to which it has an affinity.
     Spreading,
@@ -31,7 +31,7 @@
     ReportedPace,
     /// Withholds a request on which several targets crashed from other targets.
     Poison,
-    /// Skips targets that were unreachable or failed to help, for a while.
+    /// Skips, for a while, targets that were unreachable and engines that failed to help.
     PassingOver,
     /// Sends fewer prompts to engines that failed prompts recently.
     Failures,
--- a/crates/serving/src/names.rs
+++ b/crates/serving/src/names.rs
@@ -1,4 +1,4 @@
-//! Published names, each with a type of its own.
+//! Ids and names of published things, each with a type of its own.
 
 use {
     serde::{Deserialize, Serialize},
--- a/crates/serving/src/placement/answer_loss.rs
+++ b/crates/serving/src/placement/answer_loss.rs
@@ -40,7 +40,7 @@
 /// In bursts of long prompts, two parts in one pass pause such a stream for too long. Engines that write
 /// streams with short limits get none of these parts.
 fn exposure_loss(shape: &PromptShape, has_short_streams: bool) -> f64 {
-    if !shape.disabled.is_enabled(Mechanism::Exposure) {
+    if !shape.mechanisms.is_enabled(Mechanism::Exposure) {
         return 0.0;
     }
     if has_short_streams || shape.pause_limit_ms > MEDIUM_PAUSE_MS {
@@ -67,7 +67,7 @@
     if !is_short(shape.pause_limit_ms) {
         return exposure_loss(shape, short > 0);
     }
-    if !shape.disabled.is_enabled(Mechanism::Packing) {
+    if !shape.mechanisms.is_enabled(Mechanism::Packing) {
         return 0.0;
     }
     if short == 0 {
--- a/crates/serving/src/placement/choose.rs
+++ b/crates/serving/src/placement/choose.rs
@@ -32,7 +32,8 @@
 pub struct Choice {
     /// Indices among the candidates: the engine that answers, then the helpers.
     pub engines: Vec<usize>,
-    /// Whether the part of the engine that answers is to be read ahead of others, by a reservation of memory.
+    /// Whether the engine that answers is to read its part ahead of others. A small reservation of memory
+    /// there brings that about.
     pub goes_first: bool,
     /// Expected time of the first event, in ms from the choice.
     pub first_event_ms: f64,
@@ -47,8 +48,8 @@
 /// Chooses engines for a prompt; `None` if no engine can take it.
 ///
 /// For each number of engines, takes those on which the prompt costs others least and is read soonest, and
-/// returns the number with the least predicted loss. This handles a mix of short streams with short pause
-/// limits and long prompts whose proportions change within seconds.
+/// returns the choice with the least predicted loss. The load that this is designed for is a mix of short
+/// streams with short pause limits and of long prompts, whose proportions change within seconds.
 pub fn choose(
     now: MonoMs,
     spec: &EngineSpec,
@@ -63,7 +64,7 @@
         .filter(|degree| {
             let min_degree = shape.reserved.map_or(1, |reserved| reserved.engines + 1);
             let is_worth_it = whole_ms / *degree as f64 >= MIN_PART_MS
-                && shape.disabled.is_enabled(Mechanism::Helpers);
+                && shape.mechanisms.is_enabled(Mechanism::Helpers);
             *degree >= min_degree
                 && *degree <= candidates.len()
                 && (*degree == min_degree || is_worth_it)
--- a/crates/serving/src/placement/engine_share.rs
+++ b/crates/serving/src/placement/engine_share.rs
@@ -9,9 +9,9 @@
     crate::{engines::EngineLoad, fleet::JobId, mechanism::Mechanism},
 };
 
-/// Minimum reading time of a whole prompt, in ms, for which the engine that answers is asked to read its
-/// part ahead of others. That takes at least two calls of the engine; shorter prompts are read within a pass
-/// or two regardless of their position in the queue.
+/// Minimum reading time of a whole prompt, in ms, for which memory is reserved at the engine that answers,
+/// so that it reads its part ahead of others. A reservation takes at least two calls of the engine; shorter
+/// prompts are read within a pass or two regardless of their position in the queue.
 const MIN_PRIORITIZED_READ_MS: f64 = 150.0;
 /// Network time of a request and its first event together, in ms.
 const NETWORK_MS: f64 = 8.0;
@@ -36,7 +36,7 @@
             tokens: shape.prompt_tokens as f64 / degree as f64,
             goes_first: degree > 1
                 && spec.read_ms(shape.prompt_tokens) >= MIN_PRIORITIZED_READ_MS
-                && shape.disabled.is_enabled(Mechanism::FirstPlaces),
+                && shape.mechanisms.is_enabled(Mechanism::FirstPlaces),
         }
     }
 }
--- a/crates/serving/src/placement/pause_loss.rs
+++ b/crates/serving/src/placement/pause_loss.rs
@@ -48,7 +48,7 @@
     part: SplitPart,
     goes_first: bool,
 ) -> f64 {
-    if !context.shape.disabled.is_enabled(Mechanism::FirstPauses) {
+    if !context.shape.mechanisms.is_enabled(Mechanism::FirstPauses) {
         return 0.0;
     }
     (0..load.parts.len())
@@ -103,7 +103,7 @@
 ) -> f64 {
     let PlacementContext { spec, shape, .. } = context;
     let (tokens, waiting_ms) = load.waiting_tokens();
-    if waiting_ms <= 0.0 || !shape.disabled.is_enabled(Mechanism::OwnPause) {
+    if waiting_ms <= 0.0 || !shape.mechanisms.is_enabled(Mechanism::OwnPause) {
         return 0.0;
     }
     let capacity_tokens = spec.pass_read_tokens() as f64;
--- a/crates/serving/src/placement/placement_context.rs
+++ b/crates/serving/src/placement/placement_context.rs
@@ -29,7 +29,7 @@
 
     /// Returns the share of its value by which an answer that is only likely to be on time is discounted.
     pub fn risk(self) -> f64 {
-        if self.shape.disabled.is_enabled(Mechanism::Risk) {
+        if self.shape.mechanisms.is_enabled(Mechanism::Risk) {
             RISK
         } else {
             0.0
@@ -52,11 +52,11 @@
 
     /// Returns the expected loss by choosing an engine that recently failed other prompts.
     ///
-    /// Guards against an engine that reports to be healthy and fails what it gets: it is always idle and
+    /// Guards against an engine that reports that it is healthy and fails what it gets: it is always idle and
     /// would be the best choice for each prompt in turn. As a loss compared with that of other engines it
     /// only moves prompts to better ones; none is refused where all engines fail some.
     pub fn failure_loss(self, load: &EngineLoad) -> f64 {
-        if !self.shape.disabled.is_enabled(Mechanism::Failures) {
+        if !self.shape.mechanisms.is_enabled(Mechanism::Failures) {
             return 0.0;
         }
         self.value() * load.failures.at(self.now)
--- a/crates/serving/src/placement/prompt_shape.rs
+++ b/crates/serving/src/placement/prompt_shape.rs
@@ -17,10 +17,10 @@
     pub reserved: Option<ReservedMemory>,
     /// Share of the engines' time that recently assigned reading takes, below 1.
     pub utilization: f64,
-    /// Whether this instance knows little of what other instances place.
+    /// Whether this instance knows little of what other instances place on the engines.
     pub is_blind: bool,
-    /// Mechanisms that are switched off for this choice.
-    pub disabled: DisabledMechanisms,
+    /// Mechanisms by which this choice is made.
+    pub mechanisms: DisabledMechanisms,
 }
 
 /// An engine that may be chosen.
--- a/crates/serving/src/placement/prompt_split.rs
+++ b/crates/serving/src/placement/prompt_split.rs
@@ -45,19 +45,19 @@
     /// Chooses the engines on which the prompt costs others least and is read soonest; `None` if too few can
     /// take a part.
     pub fn choose(&self) -> Option<Choice> {
-        let first = self.best_first()?;
+        let first = self.best_answering()?;
         let helpers = self.best_helpers(&first)?;
         Some(self.evaluate(&first, &helpers))
     }
 
     /// Returns the share of the best engine to answer; `None` if no engine can.
-    fn best_first(&self) -> Option<EngineShare> {
+    fn best_answering(&self) -> Option<EngineShare> {
         self.candidates
             .iter()
             .enumerate()
             .filter(|(_, candidate)| self.can_take_part(candidate))
             .filter(|(_, candidate)| can_answer(self.context, candidate.load))
-            .map(|(index, candidate)| self.as_first(index, candidate))
+            .map(|(index, candidate)| self.answering_share(index, candidate))
             .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_loss, first)| first)
     }
@@ -66,8 +66,8 @@
         self.degree == 1 || !candidate.is_limited
     }
 
-    /// Returns the loss if an engine answers, and its share.
-    fn as_first(&self, index: usize, candidate: &Candidate<'_>) -> (f64, EngineShare) {
+    /// Returns the loss by which engines to answer are compared, and the engine's share.
+    fn answering_share(&self, index: usize, candidate: &Candidate<'_>) -> (f64, EngineShare) {
         let Self { context, part, .. } = *self;
         let mut first = engine_share(context, candidate.load, index, part, part.goes_first);
         first.stream_loss += answer_loss(context, candidate.load);
@@ -114,12 +114,12 @@
             .enumerate()
             .filter(|(index, candidate)| *index != first.index && candidate.load.helping < slots)
             .filter(|(_, candidate)| self.can_take_part(candidate))
-            .map(|(index, candidate)| self.as_helper(index, candidate))
+            .map(|(index, candidate)| self.helper_share(index, candidate))
             .collect()
     }
 
-    /// Returns the loss if an engine helps, and its share.
-    fn as_helper(&self, index: usize, candidate: &Candidate<'_>) -> (f64, EngineShare) {
+    /// Returns the loss by which helpers are compared, and the engine's share.
+    fn helper_share(&self, index: usize, candidate: &Candidate<'_>) -> (f64, EngineShare) {
         let Self { context, part, .. } = *self;
         let helper = engine_share(context, candidate.load, index, part, true);
         let failure_loss = context.failure_loss(candidate.load);
@@ -159,7 +159,7 @@
     }
 
     fn cost_to_others(&self, shares: &[&EngineShare]) -> f64 {
-        if self.context.shape.disabled.is_enabled(Mechanism::Delays) {
+        if self.context.shape.mechanisms.is_enabled(Mechanism::Delays) {
             return combined_cost(shares);
         }
         shares.iter().map(|share| share.stream_loss).sum()
--- a/crates/serving/src/relays/followed_relays.rs
+++ b/crates/serving/src/relays/followed_relays.rs
@@ -62,8 +62,8 @@
 
     /// Applies a relay's status, after the changes that came with it.
     ///
-    /// Ignores the age of a status that is older than what is known here, from a relay that lags or whose
-    /// store went back to an earlier state: it doesn't confirm that the newer state still holds.
+    /// A status that is older than what is known here comes from a relay that lags, or whose store went back
+    /// to an earlier state. It doesn't confirm that the newer state still holds, so its age doesn't count.
     pub fn apply_status(
         &mut self,
         now: MonoMs,
@@ -71,7 +71,7 @@
         status: &RelayStatus,
         own_version: u64,
     ) {
-        if status.is_cut_off {
+        if status.is_store_lost {
             self.exclude(now, from);
             return;
         }
@@ -89,18 +89,20 @@
         }
     }
 
-    /// Records that the store doesn't answer an instance, this one or a relay.
+    /// Records that the store doesn't answer an instance, this one or a relay, which is then not followed for
+    /// `EXCLUSION_MS`.
     pub fn exclude(&mut self, now: MonoMs, address: SocketAddr) {
         self.confirmed.remove(&address);
         self.excluded_until.insert(address, now + EXCLUSION_MS);
     }
 
-    /// Records that the store answers an instance.
+    /// Records that the store answers an instance again.
     pub fn readmit(&mut self, address: SocketAddr) {
         self.excluded_until.remove(&address);
     }
 
-    /// Returns whether the store answers an instance, as far as is known.
+    /// Returns whether an instance may read the store for others: it isn't known that the store leaves it
+    /// without answers.
     pub fn may_read(&self, now: MonoMs, address: SocketAddr) -> bool {
         let until = self.excluded_until.get(&address);
         until.is_none_or(|until| *until <= now)
--- a/crates/serving/src/relays/followers.rs
+++ b/crates/serving/src/relays/followers.rs
@@ -26,6 +26,8 @@
     follow: FollowRequest,
     last_request_at: MonoMs,
     awaited: Option<AwaitedState>,
+    /// Whether it is served even if no update is due: with all that it lacks if it requests changes, else
+    /// with the relay's status.
     is_new: bool,
 }
 
@@ -67,7 +69,7 @@
         });
         // A follower is new again if it starts to request changes, since its other relay has failed, or if it
         // has restarted and knows nothing.
-        follower.is_new |= follow.wants_changes && !follower.follow.wants_changes;
+        follower.is_new |= follow.requests_changes && !follower.follow.requests_changes;
         follower.is_new |= !follow.known.covers(&follower.follow.known);
         follower.follow = follow;
         follower.last_request_at = now;
@@ -115,12 +117,12 @@
                 continue;
             }
             let is_new = std::mem::take(&mut follower.is_new);
-            let wants_changes = follower.follow.wants_changes;
-            if follower.has_lost_update() || (is_new && wants_changes) {
+            let requests_changes = follower.follow.requests_changes;
+            if follower.has_lost_update() || (is_new && requests_changes) {
                 let lagging = update.lagging.entry(follower.follow.known).or_default();
                 lagging.push(*address);
                 follower.awaited = None;
-            } else if is_due && wants_changes {
+            } else if is_due && requests_changes {
                 update.changes_to.push(*address);
             } else {
                 update.status_to.push(*address);
--- a/crates/serving/src/relays/relay_status.rs
+++ b/crates/serving/src/relays/relay_status.rs
@@ -23,8 +23,10 @@
 pub struct FollowRequest {
     /// What the follower knows.
     pub known: KnownState,
-    /// Whether it requests each change as it comes; otherwise it gets only what it turns out to lack.
-    pub wants_changes: bool,
+    /// Whether it requests each change as it comes; otherwise it gets only what its heartbeats show that it
+    /// lacks.
+    #[serde(rename = "wants_changes")]
+    pub requests_changes: bool,
 }
 
 /// Status that a relay sends to its followers whenever the store has answered it, in one frame with the
@@ -37,6 +39,7 @@
     pub age_ms: u64,
     /// Revision after which the frame has all changes; `None` if the frame has all targets instead.
     pub since: Option<u64>,
-    /// Whether the store doesn't answer the relay.
-    pub is_cut_off: bool,
+    /// Whether the store has left the relay without answers for some time.
+    #[serde(rename = "is_cut_off")]
+    pub is_store_lost: bool,
 }
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -43,7 +43,7 @@
 
 /// Time after an instance took on a role until it knows all prompts that the role requires, in ms. Links open
 /// within some hundred ms, and prompts in flight are sent with the next tick after that.
-const TASK_SETTLING_MS: u64 = 1_000;
+const ROLE_SETTLING_MS: u64 = 1_000;
 
 /// State of an entry instance: its configuration, the targets, peers and relays that it knows, and the
 /// prompts and calls in flight.
@@ -62,7 +62,7 @@
     budget: FleetBudget,
     crashes: CrashTracker,
     groups: EngineGroups,
-    /// Groups in which peers were asked to choose engines for a prompt of this instance.
+    /// Groups of engines in which peers were requested to choose for a prompt of this instance.
     requested_groups: HashMap<JobId, Vec<EngineGroup>>,
     news: News,
     next_job: u64,
@@ -80,10 +80,10 @@
     followers: Followers,
     /// When this instance last completed a read of the store.
     read_at: Option<MonoMs>,
-    /// Time of the first call to the store that went unanswered since its last answer.
-    cut_off_since: Option<MonoMs>,
-    disabled: DisabledMechanisms,
-    /// When a peer last reported a placed prompt.
+    /// Time of the first call that the store didn't answer since its last answer; `None` while it answers.
+    store_lost_since: Option<MonoMs>,
+    mechanisms: DisabledMechanisms,
+    /// When a peer last reported a placed prompt; `None` if none ever has.
     last_peer_prompt_at: Option<MonoMs>,
     rng: fastrand::Rng,
 }
@@ -116,29 +116,29 @@
             following: FollowedRelays::default(),
             followers: Followers::default(),
             read_at: None,
-            cut_off_since: None,
-            disabled: DisabledMechanisms::default(),
+            store_lost_since: None,
+            mechanisms: DisabledMechanisms::default(),
             last_peer_prompt_at: None,
         }
     }
 
     /// Replaces the set of mechanisms that are switched off, none by default.
     pub fn disable_mechanisms(&mut self, mechanisms: DisabledMechanisms) {
-        self.disabled = mechanisms;
+        self.mechanisms = mechanisms;
     }
 
     /// Returns whether requests can be served: there is a configuration, targets are known, and the
-    /// instance wasn't told to stop.
+    /// instance wasn't ordered to stop.
     pub fn is_ready(&self) -> bool {
-        self.configuration.is_some() && self.targets.is_known() && !self.own.leaving
+        self.configuration.is_some() && self.targets.is_initialized() && !self.own.leaving
     }
 
-    /// Returns whether the instance was told to stop.
+    /// Returns whether the instance was ordered to stop.
     pub fn is_leaving(&self) -> bool {
         self.own.leaving
     }
 
-    /// Marks the instance as stopping. This can't be undone within a run.
+    /// Records that the instance was ordered to stop. This can't be undone within a run.
     pub fn leave(&mut self) {
         self.own.leaving = true;
     }
@@ -197,7 +197,7 @@
     fn update_ranks(&mut self, now: MonoMs) {
         let own = self.own_member(now);
         if self.members.rank(now, &own) || self.settled_at == MonoMs(0) {
-            self.settled_at = now + TASK_SETTLING_MS;
+            self.settled_at = now + ROLE_SETTLING_MS;
         }
     }
 
--- a/crates/serving/src/serving/calls.rs
+++ b/crates/serving/src/serving/calls.rs
@@ -41,8 +41,8 @@
         Ok(CallPlacement { target })
     }
 
-    /// Refuses a request that is poison, and a repeat for which the retry budget has nothing left.
-    /// Otherwise takes a repeat out of the budget.
+    /// Refuses a request that is poison, and a retry for which the budget has nothing left. Otherwise takes
+    /// a retry out of the budget.
     pub(super) fn admit_request(
         &mut self,
         now: MonoMs,
@@ -50,7 +50,7 @@
         fingerprint: Fingerprint,
         is_repeat: bool,
     ) -> Result<(), Refusal> {
-        let refuses_poison = self.disabled.is_enabled(Mechanism::Poison);
+        let refuses_poison = self.mechanisms.is_enabled(Mechanism::Poison);
         if refuses_poison && self.crashes.is_poison(now, fingerprint) {
             return Err(Refusal::Poison);
         }
@@ -77,7 +77,7 @@
         self.calls.record_ended(now, target, took_ms, failed);
     }
 
-    /// Returns whether a connection to a target failed recently, here or at a peer.
+    /// Returns whether a connection to a target, or its help, failed recently, here or at a peer.
     pub fn is_unreachable(&self, now: MonoMs, target: &str) -> bool {
         self.calls.is_unreachable(now, target)
     }
@@ -95,7 +95,7 @@
             return;
         };
         if self.targets.apply_takeover(&takeover) {
-            self.news.for_all().displaced.push(takeover);
+            self.news.for_all().takeovers.push(takeover);
         }
     }
 
--- a/crates/serving/src/serving/configured.rs
+++ b/crates/serving/src/serving/configured.rs
@@ -40,13 +40,13 @@
     /// Records that the store didn't answer.
     pub fn store_failed(&mut self, now: MonoMs) {
         self.targets.store_failed();
-        self.cut_off_since.get_or_insert(now);
+        self.store_lost_since.get_or_insert(now);
     }
 
     /// Records that the store answered, so that this instance may act as a relay again.
     pub fn store_answers(&mut self, now: MonoMs) {
         self.targets.store_answers(now);
-        self.cut_off_since = None;
+        self.store_lost_since = None;
         self.following.readmit(self.own.peer_address);
     }
 
@@ -55,9 +55,9 @@
         self.targets.is_store_lost()
     }
 
-    /// Returns the names of the targets that take requests, sorted.
+    /// Returns the run ids of the targets that take requests, sorted.
     pub fn ready_targets(&self) -> Vec<String> {
-        self.targets.ready_names()
+        self.targets.ready_ids()
     }
 
     /// Applies a change of a target that was read from the store. Returns whether it takes effect.
--- a/crates/serving/src/serving/members.rs
+++ b/crates/serving/src/serving/members.rs
@@ -39,7 +39,7 @@
         self.members.live_members(now).count()
     }
 
-    /// Adds the addresses of the settings at which peers may be found.
+    /// Replaces the addresses of the settings at which peers may be found.
     pub fn add_seeds(&mut self, addresses: &[SocketAddr]) {
         self.members.add_seeds(self.own.peer_address, addresses);
     }
@@ -68,8 +68,10 @@
                 .into_iter()
                 .map(|(relay, _)| relay),
         );
-        let asking = self.members.link_requesters(now);
-        let requested = asking.filter(|address| !own.contains(address)).collect();
+        let requesters = self.members.link_requesters(now);
+        let requested = requesters
+            .filter(|address| !own.contains(address))
+            .collect();
         WantedLinks { own, requested }
     }
 
@@ -103,11 +105,11 @@
     }
 
     /// Returns the first frame of a link to a peer: the state of this instance, the addresses of peers, the
-    /// targets that leave or have a limit, and the roster of a hub.
+    /// targets that leave or have a limit, and the roster, which is empty unless this instance is a hub.
     pub fn greeting(&self, now: MonoMs, to: SocketAddr, requests_link: bool) -> Frame {
-        let mut follows = self.follow_requests(now).into_iter();
+        let mut requests = self.follow_requests(now).into_iter();
         let heartbeat = HeartbeatFrame {
-            follow_request: follows.find_map(|(relay, follow)| (relay == to).then_some(follow)),
+            follow_request: requests.find_map(|(relay, follow)| (relay == to).then_some(follow)),
             ..self.heartbeat_fields(requests_link)
         };
         Frame {
@@ -121,8 +123,9 @@
         }
     }
 
-    /// Returns whether a heartbeat should be sent ahead of time, because this instance started or stopped
-    /// to serve. Until peers know, they don't give its address to callers, or still do.
+    /// Returns whether a heartbeat should be sent ahead of time, because this instance has started or stopped
+    /// serving. Until peers know that it serves they don't name it to callers, and until they know that it
+    /// doesn't they still do.
     pub fn is_heartbeat_due(&self) -> bool {
         self.last_stated
             .as_ref()
--- a/crates/serving/src/serving/news.rs
+++ b/crates/serving/src/serving/news.rs
@@ -50,15 +50,15 @@
     /// order, depends on its address, so that instances spread over all groups.
     pub fn own_groups(&self) -> Vec<EngineGroup> {
         let count = self.groups.count();
-        let used = count.min(OWN_GROUPS);
+        let own_count = count.min(OWN_GROUPS);
         let first = crate::fleet::hash(0, self.own.peer_address) as u32 % count;
-        (0..used)
-            .map(|index| self.groups.group(first + index * (count / used)))
+        (0..own_count)
+            .map(|index| self.groups.group(first + index * (count / own_count)))
             .collect()
     }
 
     /// Returns the addresses of the peers that choose engines of a group for this instance's prompts, in
-    /// the order in which to ask them. Empty if this instance chooses them itself.
+    /// the order in which to request it of them. Empty if this instance chooses them itself.
     pub fn deciders(&self, group: EngineGroup) -> Vec<SocketAddr> {
         let ranks = self.members.ranks();
         let deciders = ranks.deciders(group);
@@ -82,7 +82,7 @@
     }
 
     /// Returns a frame with all prompts that this instance has in flight in some groups of engines, for a
-    /// peer that is told of them from now on.
+    /// peer that is informed of them from now on.
     pub fn job_snapshot(&self, now: MonoMs, groups: &[EngineGroup]) -> Frame {
         let is_in_groups = |engine: &TargetId| groups.iter().any(|group| group.contains(engine));
         let jobs = || {
@@ -95,7 +95,7 @@
             is_snapshot: true,
             placed: jobs().map(|job| job.placed.clone()).collect(),
             started: jobs()
-                .filter(|job| job.has_begun)
+                .filter(|job| job.has_started)
                 .map(|job| job.placed.job)
                 .collect(),
             ..Frame::default()
@@ -118,7 +118,7 @@
         frames
     }
 
-    /// Returns the groups whose deciders were told of a prompt or asked to choose engines for it.
+    /// Returns the groups whose deciders were informed of a prompt or requested to choose engines for it.
     pub(super) fn groups_of(&self, job: JobId) -> Vec<EngineGroup> {
         let requested = self
             .requested_groups
--- a/crates/serving/src/serving/notices.rs
+++ b/crates/serving/src/serving/notices.rs
@@ -14,7 +14,7 @@
     }
 
     /// Applies the notice in a target's answer to a request that was sent at `sent_at`, and queues its
-    /// limit and departure for all peers. Returns whether it said anything new.
+    /// limit and departure for all peers. Returns whether it contained anything new.
     pub fn apply_target_notice(
         &mut self,
         now: MonoMs,
--- a/crates/serving/src/serving/peers.rs
+++ b/crates/serving/src/serving/peers.rs
@@ -22,7 +22,7 @@
 /// broken, in ms. The store delivers a change to all instances within some ten ms, and instances collect
 /// changes for a quarter of a second.
 const LAG_TIMEOUT_MS: u64 = 600;
-/// Maximum number of peers that are asked at the same time for what this instance lacks.
+/// Maximum number of peers to which one request for missing state is sent.
 const MAX_CATCH_UP_PEERS: usize = 2;
 
 /// State that a peer had before this instance, and when this was first noticed.
@@ -42,7 +42,7 @@
     takeovers: Vec<AddressTakeover>,
 }
 
-/// Returns the items for which `apply` returns true, which are news.
+/// Applies each item. Returns those that are new, for which `apply` returns true.
 fn retain_new<T>(mut items: Vec<T>, apply: impl FnMut(&T) -> bool) -> Vec<T> {
     items.retain(apply);
     items
@@ -52,7 +52,7 @@
     /// Applies the pace that an engine reports of itself, and queues it for the deciders of its group if it
     /// has changed.
     pub fn apply_reported_pace(&mut self, now: MonoMs, engine: &TargetEntry, pace: f64) {
-        if !self.disabled.is_enabled(Mechanism::ReportedPace) {
+        if !self.mechanisms.is_enabled(Mechanism::ReportedPace) {
             return;
         }
         let Some(spec) = self.spec_of_service(&engine.service) else {
@@ -70,9 +70,9 @@
 
     /// Tracks since when this instance lacks published state that a peer has.
     ///
-    /// Guards against a steady stream of changes, in which some peer always has one more. Only the state
-    /// that a peer had when the lag was first noticed counts, and the lag ends once this instance has
-    /// reached it.
+    /// Guards against an instance that counts as lagging though it keeps up: in a steady stream of changes
+    /// some peer always has one more. Only the state that a peer had when the lag was first noticed counts,
+    /// and the lag ends once this instance has reached it.
     pub(super) fn detect_lag(&mut self, now: MonoMs) {
         let own_state = self.newest_state();
         let first_ahead = self.peers_ahead(now).next().map(|member| PeerLag {
@@ -145,7 +145,7 @@
         (!peers.is_empty()).then_some((peers, frame))
     }
 
-    /// Applies a frame from a peer, `from` being its run. `decode` parses a published configuration.
+    /// Applies a frame from the peer whose run is `from`. `decode` parses a published configuration.
     /// Returns the changes of targets that take effect.
     pub fn on_frame(
         &mut self,
@@ -182,7 +182,7 @@
             unreachable: frame.unreachable,
             leaving: frame.leaving,
             limits: frame.limits,
-            takeovers: frame.displaced,
+            takeovers: frame.takeovers,
         };
         self.apply_fleet_notices(now, notices);
         for reported in &frame.paces {
@@ -289,7 +289,7 @@
             news.unreachable.extend(new.unreachable);
             news.leaving.extend(new.leaving);
             news.limits.extend(new.limits);
-            news.displaced.extend(new.takeovers);
+            news.takeovers.extend(new.takeovers);
         }
     }
 
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -51,8 +51,8 @@
         groups
     }
 
-    /// Records that a peer was asked to choose engines for a prompt. Even if its response never arrives, it
-    /// may have recorded the prompt as sent, so the deciders of the group are told of its end.
+    /// Records that a peer was requested to choose engines for a prompt. Even if its response never arrives,
+    /// it may have recorded the prompt as sent, so the deciders of the group get a notice of its end.
     pub fn record_placement_request(&mut self, job: JobId, group: EngineGroup) {
         self.requested_groups.entry(job).or_default().push(group);
     }
@@ -94,6 +94,7 @@
         let choice =
             choose(now, &spec, &shape, &candidates).ok_or_else(|| overloaded(&loads, None))?;
         let inputs = self.decision_inputs(now, &spec, &shape, &choice, entries.len());
+        // A stream of which the caller has a part already is resumed in any case.
         if self.should_refuse(&shape, &inputs) && !request.is_resumed {
             return Err(overloaded(&loads, Some(inputs)));
         }
@@ -141,7 +142,7 @@
             reserved: ReservedMemory::for_tokens(tokens, spec.memory_tokens),
             utilization: self.engines.utilization(now, group, engines),
             is_blind: self.is_blind(now, group),
-            disabled: self.disabled,
+            mechanisms: self.mechanisms,
         }
     }
 
@@ -153,7 +154,7 @@
         choice: &Choice,
         engines: usize,
     ) -> DecisionInputs {
-        let time_loss = if self.disabled.is_enabled(Mechanism::PriceOfTime) {
+        let time_loss = if self.mechanisms.is_enabled(Mechanism::PriceOfTime) {
             work_loss(spec, shape.prompt_tokens, shape.utilization)
         } else {
             0.0
@@ -171,30 +172,29 @@
     }
 
     /// Returns whether a prompt should be refused: its caller isn't expected to wait for the first event,
-    /// or the prompt costs others more than its answer is worth. A stream of which the caller has a part
-    /// already is resumed all the same.
+    /// or the prompt costs others more than its answer is worth.
     fn should_refuse(&self, shape: &PromptShape, inputs: &DecisionInputs) -> bool {
         let costs_too_much = inputs.cost_to_others + inputs.time_loss > inputs.gain;
         inputs.first_event_ms > shape.patience_ms
-            || costs_too_much && self.disabled.is_enabled(Mechanism::RefusalByWorth)
+            || costs_too_much && self.mechanisms.is_enabled(Mechanism::RefusalByWorth)
     }
 
-    /// Returns whether this instance knows little of what others place on a group's engines: it isn't told of
-    /// their prompts, or has been only for a moment.
+    /// Returns whether this instance knows little of what others place on a group's engines: it doesn't
+    /// receive their prompts, or has done so only for a moment.
     ///
-    /// Guards against the return of all callers at the same time to instances that have all just restarted
-    /// and don't know each other yet.
+    /// Guards against instances that all choose the same engines when all callers return at the same time
+    /// after a restart of all instances, which don't know each other yet.
     fn is_blind(&self, now: MonoMs, group: EngineGroup) -> bool {
-        if !self.disabled.is_enabled(Mechanism::Spreading) {
+        if !self.mechanisms.is_enabled(Mechanism::Spreading) {
             return false;
         }
-        let is_told = !self.members.is_large()
+        let is_informed = !self.members.is_large()
             || self
                 .members
                 .ranks()
                 .deciders(group)
                 .contains(&self.own.peer_address);
-        !is_told || now < self.settled_at
+        !is_informed || now < self.settled_at
     }
 
     /// Records a prompt as sent to engines that were chosen here or by a peer, and returns their entries.
@@ -233,6 +233,8 @@
         }
     }
 
+    /// Returns the ready engines of a group that may get a prompt. Unreachable ones are left out unless all
+    /// are unreachable.
     fn usable_engines(
         &self,
         now: MonoMs,
@@ -249,7 +251,7 @@
         let reachable: Vec<TargetId> = ready
             .iter()
             .filter(|id| {
-                !self.disabled.is_enabled(Mechanism::PassingOver)
+                !self.mechanisms.is_enabled(Mechanism::PassingOver)
                     || !self.calls.is_unreachable(now, id)
             })
             .map(|id| (*id).clone())
--- a/crates/serving/src/serving/quotas.rs
+++ b/crates/serving/src/serving/quotas.rs
@@ -32,7 +32,8 @@
 }
 
 impl Serving {
-    /// Takes permission to send a request to a target now, or returns the request to send to its holder.
+    /// Returns whether a request may be sent to a target now, and takes a token for it where this instance
+    /// grants permits; otherwise returns the permit request to send to the holder.
     pub fn request_permission(&mut self, now: MonoMs, target: &TargetId) -> Permission {
         if self.closed_until(now, target).is_some() {
             return Permission::Refused;
@@ -153,9 +154,9 @@
     }
 
     /// Returns the instance that grants requests to a target for all instances: a hub in a large fleet,
-    /// since all instances link to hubs, else any serving instance. `None` if none is known.
+    /// since all instances link to hubs, else any ready instance. `None` if none is known.
     fn holder(&self, target: &TargetId) -> Option<SocketAddr> {
-        if !self.disabled.is_enabled(Mechanism::SharedQuotas) {
+        if !self.mechanisms.is_enabled(Mechanism::SharedQuotas) {
             return None;
         }
         let salt = xxh3_64(target.as_bytes());
@@ -163,7 +164,7 @@
         let candidates = if ranks.is_large() {
             ranks.hubs()
         } else {
-            ranks.serving()
+            ranks.ready()
         };
         let candidates = candidates.iter().copied();
         candidates.max_by_key(|address| hash(salt, *address))
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -17,8 +17,9 @@
 /// Number of instances of a failure domain, the strongest first, that try to read the store before it is
 /// considered to refuse the whole domain. Each of them calls an unreachable store several times a second.
 const RELAY_CANDIDATES: usize = 4;
-/// Time without an answer of the store after which a relay reports that it is cut off, in ms: a few attempts.
-const CUT_OFF_TIMEOUT_MS: u64 = 600;
+/// Time without an answer of the store after which a relay reports that the store is lost, in ms: a few
+/// attempts.
+const STORE_LOSS_TIMEOUT_MS: u64 = 600;
 /// Processor time from which an instance reads the store immediately even at the first start of the system,
 /// in thousandths of a core. Such instances are the first relays.
 const IMMEDIATE_READ_CPU_MILLIS: u32 = 200;
@@ -100,9 +101,9 @@
             return Vec::new();
         }
         let known = self.known_state();
-        let follow = |wants_changes| FollowRequest {
+        let follow = |requests_changes| FollowRequest {
             known,
-            wants_changes,
+            requests_changes,
         };
         self.readers(now)
             .enumerate()
@@ -151,14 +152,14 @@
         self.followers.evict_expired(now);
         self.following.evict_expired(now);
         let own = self.own.peer_address;
-        let is_cut_off = self
-            .cut_off_since
-            .is_some_and(|since| now.since(since) >= CUT_OFF_TIMEOUT_MS);
-        if is_cut_off && self.following.may_read(now, own) {
+        let is_store_lost = self
+            .store_lost_since
+            .is_some_and(|since| now.since(since) >= STORE_LOSS_TIMEOUT_MS);
+        if is_store_lost && self.following.may_read(now, own) {
             self.following.exclude(now, own);
             self.followers.schedule_update();
         }
-        // Entries that are removed after an outage may merely have expired in it, also if only the relays
+        // Entries that are removed after an outage may merely have expired during it, even if only the relays
         // noticed the outage.
         let role = self.store_role(now);
         if matches!(role, StoreRole::StandIn { is_store_lost } if is_store_lost) {
@@ -226,7 +227,7 @@
             known,
             age_ms: now.since(as_of),
             since: Some(known.revision),
-            is_cut_off: !self.following.may_read(now, self.own.peer_address),
+            is_store_lost: !self.following.may_read(now, self.own.peer_address),
         })
     }
 
--- a/crates/serving/src/serving/requests.rs
+++ b/crates/serving/src/serving/requests.rs
@@ -38,7 +38,7 @@
     /// requesting instance may send nothing now.
     #[serde(rename = "tried")]
     pub excluded: Vec<TargetId>,
-    /// Whether it was sent to an engine before.
+    /// Whether it was sent to an engine before, so that it counts against the retry budget.
     pub is_repeat: bool,
     /// Whether its caller has received a part of the stream already.
     pub is_resumed: bool,
@@ -73,7 +73,7 @@
     pub fingerprint: Fingerprint,
     /// Targets that were tried before.
     pub tried: &'a [TargetId],
-    /// Whether it was sent to a target before.
+    /// Whether it was sent to a target before, so that it counts against the retry budget.
     pub is_repeat: bool,
 }
 
@@ -105,7 +105,8 @@
     pub engines: u32,
     /// Whether the deciding instance knew little of what other instances place.
     pub is_blind: bool,
-    /// Time since the deciding instance last received a prompt from a peer, in ms; `None` if it never has.
+    /// Time since a peer last reported a placed prompt to the deciding instance, in ms; `None` if none ever
+    /// has.
     #[serde(rename = "heard_ms_ago")]
     pub last_peer_prompt_age_ms: Option<u64>,
 }
--- a/crates/serving/src/targets/address_owners.rs
+++ b/crates/serving/src/targets/address_owners.rs
@@ -33,6 +33,7 @@
 /// precedes an expired one, and a newer entry an older one.
 #[derive(Debug, Default)]
 pub struct AddressOwners {
+    /// Names of the entries that have each address.
     names: HashMap<SocketAddr, BTreeSet<TargetName>>,
     owners: HashMap<SocketAddr, TargetId>,
 }
--- a/crates/serving/src/targets/call_loads.rs
+++ b/crates/serving/src/targets/call_loads.rs
@@ -72,7 +72,7 @@
         self.by_target.entry(target.clone()).or_default().in_flight += 1;
     }
 
-    /// Uncounts a request that was recorded as sent but never was.
+    /// Reverts [`Self::record_sent`] for a request that wasn't sent after all.
     pub fn record_withdrawn(&mut self, target: &str) {
         if let Some(load) = self.by_target.get_mut(target) {
             load.in_flight = load.in_flight.saturating_sub(1);
--- a/crates/serving/src/targets/target_registry.rs
+++ b/crates/serving/src/targets/target_registry.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Returns whether any targets were received from the store or a peer.
-    pub fn is_known(&self) -> bool {
+    /// Returns whether the store or a peer has reported a change or a list of targets, be it empty.
+    pub fn is_initialized(&self) -> bool {
         self.is_initialized
     }
 
@@ -170,6 +170,7 @@
         self.is_initialized = true;
     }
 
+    /// Applies a change unless the known one is at least as new. Returns whether it is new.
     fn merge(&mut self, now: MonoMs, change: &TargetChange) -> bool {
         let known = self.by_name.get(&change.name);
         if known.is_some_and(|known| known.revision >= change.revision) {
@@ -339,7 +340,7 @@
     }
 
     /// Returns the run ids of all targets that take requests, sorted.
-    pub fn ready_names(&self) -> Vec<String> {
+    pub fn ready_ids(&self) -> Vec<String> {
         let mut ids: Vec<String> = self.all_ready().map(|entry| entry.id.to_string()).collect();
         ids.sort_unstable();
         ids
--- a/crates/serving/tests/serving/failing_engines.rs
+++ b/crates/serving/tests/serving/failing_engines.rs
@@ -19,7 +19,7 @@
     has_failed
 }
 
-/// One reply in twenty failed for seconds: an engine that reports to be healthy resets all connections. It
+/// One reply in twenty failed for seconds: an engine that reports that it is healthy resets all connections. It
 /// is always idle, so it looks like the best choice for each prompt.
 #[test]
 fn an_engine_that_fails_all_prompts_gets_few() {
