--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -91,7 +91,7 @@
         let state = &self.state;
         let seeds = state.seed_peers();
         let mut serving = state.serving();
-        serving.add_seeds(&seeds);
+        serving.set_seeds(&seeds);
         serving.tick(now);
         let roster = serving.roster_news(now);
         let (is_hub, peers) = (serving.is_hub(), serving.live_peer_count(now));
@@ -205,7 +205,7 @@
             }
             StoreRole::Watch | StoreRole::StandIn { .. } => Decision::RelayLost {
                 duty: duty.name(),
-                known_to: state.serving().known_to(),
+                known_to: state.serving().complete_revision(),
             },
         };
         let is_relayed = matches!(duty, StoreRole::Follow(_));
--- a/crates/daemon/src/entry/reservations.rs
+++ b/crates/daemon/src/entry/reservations.rs
@@ -79,7 +79,7 @@
         let tokens = place.reserved.map_or(0, |reserved| reserved.tokens);
         let helpers = place.helpers.iter().take(count);
         let own = place
-            .goes_first
+            .is_prioritized
             .then(|| MemoryHold::new(&place.engine, OWN_TOKENS));
         Self {
             state,
--- a/crates/daemon/src/entry/store/store_pace.rs
+++ b/crates/daemon/src/entry/store/store_pace.rs
@@ -118,7 +118,7 @@
         let is_first_start = self.state.settings.is_first_start;
         let patience_ms = self.state.serving().start_patience_ms(is_first_start);
         let until = self.state.now() + patience_ms;
-        while self.state.now() < until && self.state.serving().known_to().is_none() {
+        while self.state.now() < until && self.state.serving().complete_revision().is_none() {
             self.state.clock.sleep(START_LOOK_MS).await;
         }
     }
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -128,7 +128,7 @@
                     continue;
                 }
             }
-            let known_to = self.state.serving().known_to();
+            let known_to = self.state.serving().complete_revision();
             if let Some(revision) = known_to.filter(|_| !self.reads_anew) {
                 let revision = self.read_changes(revision).await?;
                 self.told(revision);
@@ -262,7 +262,7 @@
     fn answered(&mut self) {
         self.pace.succeeded();
         let now = self.state.now();
-        self.state.serving().store_answers(now);
+        self.state.serving().record_store_answer(now);
         if let Some(lost_at) = self.lost_at.take() {
             let away_ms = now.since(lost_at);
             self.state.log(&Decision::StoreRegained { away_ms });
@@ -290,7 +290,7 @@
 
     fn lost(&mut self, fault: &ReadFault) {
         let now = self.state.now();
-        self.state.serving().store_failed(now);
+        self.state.serving().record_store_failure(now);
         if self.lost_at.is_none() {
             self.lost_at = Some(now);
             let fault = fault.to_string();
--- a/crates/serving/src/engines/engine_load.rs
+++ b/crates/serving/src/engines/engine_load.rs
@@ -29,7 +29,7 @@
     pub is_helper: bool,
     /// Whether it is read ahead of all parts without this flag, the newest first. Set for the parts of
     /// helpers and for those for which the engine that answers has reserved memory.
-    pub goes_first: bool,
+    pub is_prioritized: bool,
     /// Time from which the prompt's first event is late.
     pub late_at: MonoMs,
     /// Expected time of the prompt's first event. Other engines may still read their parts when this
@@ -189,9 +189,12 @@
     fn begin_pass(&mut self, spec: &EngineSpec) {
         let mut capacity_tokens = spec.pass_read_tokens() as f64;
         let mut length_ms = self.base_ms(spec);
-        for goes_first in [true, false] {
+        for is_prioritized in [true, false] {
             for part in &mut self.parts {
-                if part.goes_first == goes_first && part.left_ms > 0.0 && capacity_tokens > 0.0 {
+                if part.is_prioritized == is_prioritized
+                    && part.left_ms > 0.0
+                    && capacity_tokens > 0.0
+                {
                     let read_ms = part.left_ms.min(capacity_tokens * part.token_ms);
                     capacity_tokens -= read_ms / part.token_ms;
                     length_ms += read_ms;
@@ -206,11 +209,15 @@
 
     fn read_in_sequence(&mut self, now_ms: f64) {
         let mut available_ms = (now_ms - self.advanced_to_ms).max(0.0);
-        let prioritized = self.parts.iter_mut().rev().filter(|part| part.goes_first);
+        let prioritized = self
+            .parts
+            .iter_mut()
+            .rev()
+            .filter(|part| part.is_prioritized);
         for part in prioritized {
             part.read(&mut available_ms);
         }
-        let others = self.parts.iter_mut().filter(|part| !part.goes_first);
+        let others = self.parts.iter_mut().filter(|part| !part.is_prioritized);
         for part in others {
             part.read(&mut available_ms);
         }
@@ -236,10 +243,10 @@
             .map_or(0.0, |end_ms| (end_ms - now.0 as f64).max(0.0))
     }
 
-    /// Returns the reading time ahead of a part that arrives now, in ms. The newest part with `goes_first` is
-    /// read before all others.
-    pub fn queue_ms(&self, goes_first: bool) -> f64 {
-        if goes_first {
+    /// Returns the reading time ahead of a part that arrives now, in ms. The newest prioritized part is read
+    /// before all others.
+    pub fn queue_ms(&self, is_prioritized: bool) -> f64 {
+        if is_prioritized {
             return 0.0;
         }
         self.total_ms()
@@ -249,8 +256,8 @@
     pub fn ends_in_ms(&self, index: usize) -> f64 {
         let part = &self.parts[index];
         let is_ahead = |other: usize| {
-            let goes_first = self.parts[other].goes_first;
-            match (part.goes_first, goes_first) {
+            let is_other_prioritized = self.parts[other].is_prioritized;
+            match (part.is_prioritized, is_other_prioritized) {
                 (true, true) => other >= index,
                 (true, false) => false,
                 (false, true) => true,
--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -97,7 +97,7 @@
                 left_ms: part_ms * engine.pace,
                 token_ms: part_ms * engine.pace / part_tokens,
                 is_helper,
-                goes_first: is_helper || placed.goes_first,
+                is_prioritized: is_helper || placed.is_prioritized,
                 late_at: now + slack_ms,
                 first_event_at: now + u64::from(placed.first_event_ms),
                 pause_limit_ms: f64::from(placed.pause_limit_ms),
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -110,7 +110,8 @@
     pub reserved: Option<ReservedMemory>,
     /// Whether a little memory is reserved at the answering engine as well, so that its part of the prompt
     /// isn't read after those of prompts that arrive later.
-    pub goes_first: bool,
+    #[serde(rename = "goes_first")]
+    pub is_prioritized: bool,
     /// Expected time from sending to the first event, in ms.
     #[serde(default)]
     pub first_event_ms: u32,
--- a/crates/serving/src/fleet/membership.rs
+++ b/crates/serving/src/fleet/membership.rs
@@ -149,7 +149,7 @@
     }
 
     /// Replaces the seed addresses, at which peers may be found. This instance's own is left out.
-    pub fn add_seeds(&mut self, own: SocketAddr, addresses: &[SocketAddr]) {
+    pub fn set_seeds(&mut self, own: SocketAddr, addresses: &[SocketAddr]) {
         let others = addresses.iter().filter(|address| **address != own);
         self.seeds = others.copied().collect();
     }
--- a/crates/serving/src/placement/choose.rs
+++ b/crates/serving/src/placement/choose.rs
@@ -34,7 +34,7 @@
     pub engines: Vec<usize>,
     /// Whether the engine that answers is to read its part ahead of others. A small reservation of memory
     /// there brings that about.
-    pub goes_first: bool,
+    pub is_prioritized: bool,
     /// Expected time of the first event, in ms from the choice.
     pub first_event_ms: f64,
     /// Predicted loss of value, of the prompt itself and of others, by which choices are compared.
--- a/crates/serving/src/placement/engine_share.rs
+++ b/crates/serving/src/placement/engine_share.rs
@@ -24,7 +24,7 @@
     /// Length of the part; not a whole number.
     pub tokens: f64,
     /// Whether the engine that answers reads its part ahead of others. Helpers always do.
-    pub goes_first: bool,
+    pub is_prioritized: bool,
 }
 
 impl SplitPart {
@@ -34,7 +34,7 @@
         Self {
             ms: spec.part_ms(shape.prompt_tokens, degree),
             tokens: shape.prompt_tokens as f64 / degree as f64,
-            goes_first: degree > 1
+            is_prioritized: degree > 1
                 && spec.read_ms(shape.prompt_tokens) >= MIN_PRIORITIZED_READ_MS
                 && shape.mechanisms.is_enabled(Mechanism::FirstPlaces),
         }
@@ -91,21 +91,21 @@
     load: &EngineLoad,
     index: usize,
     part: SplitPart,
-    goes_first: bool,
+    is_prioritized: bool,
 ) -> EngineShare {
     let part_ms = part.ms * load.pace;
     let stream_loss = streams_pause_loss(context, load, part)
-        + first_pauses_loss(context, load, part, goes_first);
+        + first_pauses_loss(context, load, part, is_prioritized);
     let delays = (0..load.parts.len())
         .map(|waiting| Delay {
             job: load.parts[waiting].job,
-            loss: delay_loss(context, load, waiting, part_ms, goes_first),
+            loss: delay_loss(context, load, waiting, part_ms, is_prioritized),
         })
         .filter(|delay| delay.loss > 0.0)
         .collect();
     EngineShare {
         index,
-        finish_ms: finish_ms(context, load, part, goes_first) + NETWORK_MS,
+        finish_ms: finish_ms(context, load, part, is_prioritized) + NETWORK_MS,
         stream_loss,
         delays,
     }
@@ -116,19 +116,19 @@
     context: PlacementContext<'_>,
     load: &EngineLoad,
     part: SplitPart,
-    goes_first: bool,
+    is_prioritized: bool,
 ) -> f64 {
     let part_ms = part.ms * load.pace;
     if load.streams.is_empty() {
-        return load.queue_ms(goes_first) + part_ms;
+        return load.queue_ms(is_prioritized) + part_ms;
     }
     let (tokens, waiting_ms) = load.waiting_tokens();
     let capacity_tokens = context.spec.pass_read_tokens() as f64;
-    let ahead_tokens = if goes_first { 0.0 } else { tokens };
+    let ahead_tokens = if is_prioritized { 0.0 } else { tokens };
     let passes = ((ahead_tokens + part.tokens) / capacity_tokens)
         .ceil()
         .max(1.0);
-    let others_ms = if goes_first {
+    let others_ms = if is_prioritized {
         // Waiting parts are read in the capacity that this part leaves in its last pass.
         let left_tokens = passes * capacity_tokens - part.tokens;
         waiting_ms * (left_tokens / tokens.max(1.0)).min(1.0)
@@ -145,14 +145,14 @@
     load: &EngineLoad,
     index: usize,
     part_ms: f64,
-    goes_first: bool,
+    is_prioritized: bool,
 ) -> f64 {
     let now = context.now;
     let waiting = &load.parts[index];
     if waiting.left_ms <= 0.0 {
         return 0.0;
     }
-    if goes_first || !load.streams.is_empty() {
+    if is_prioritized || !load.streams.is_empty() {
         let slack_ms = waiting.late_at.since(now) as f64;
         let before_ms = load.pass_left_ms(now) + load.ends_in_ms(index) + NETWORK_MS;
         let before = lateness(before_ms, slack_ms);
--- a/crates/serving/src/placement/pause_loss.rs
+++ b/crates/serving/src/placement/pause_loss.rs
@@ -46,14 +46,14 @@
     context: PlacementContext<'_>,
     load: &EngineLoad,
     part: SplitPart,
-    goes_first: bool,
+    is_prioritized: bool,
 ) -> f64 {
     if !context.shape.mechanisms.is_enabled(Mechanism::FirstPauses) {
         return 0.0;
     }
     (0..load.parts.len())
         .filter(|index| !load.parts[*index].is_helper)
-        .map(|index| first_pause_loss(context, load, index, part, goes_first))
+        .map(|index| first_pause_loss(context, load, index, part, is_prioritized))
         .sum()
 }
 
@@ -62,14 +62,14 @@
     load: &EngineLoad,
     index: usize,
     part: SplitPart,
-    goes_first: bool,
+    is_prioritized: bool,
 ) -> f64 {
     let waiting = &load.parts[index];
     let part_ms = part.ms * load.pace;
     let (tokens, waiting_ms) = load.waiting_tokens();
     let expected_ms = waiting.first_event_at.since(context.now) as f64;
     let read_ms = own_read_ms(load, index, waiting);
-    let is_delayed = waiting.left_ms > 0.0 && goes_first;
+    let is_delayed = waiting.left_ms > 0.0 && is_prioritized;
     let delay_ms = if is_delayed { part_ms } else { 0.0 };
     let before_ms = (waiting_ms - expected_ms.max(read_ms)).max(0.0);
     let after_ms = (waiting_ms + part_ms - expected_ms.max(read_ms + delay_ms)).max(0.0);
--- a/crates/serving/src/placement/prompt_split.rs
+++ b/crates/serving/src/placement/prompt_split.rs
@@ -69,7 +69,7 @@
     /// Returns the loss by which engines to answer are compared, and the engine's share.
     fn answering_share(&self, index: usize, candidate: &Candidate<'_>) -> (f64, EngineShare) {
         let Self { context, part, .. } = *self;
-        let mut first = engine_share(context, candidate.load, index, part, part.goes_first);
+        let mut first = engine_share(context, candidate.load, index, part, part.is_prioritized);
         first.stream_loss += answer_loss(context, candidate.load);
         first.stream_loss += AFFINITY_GAIN * (1.0 - candidate.affinity);
         let pause_loss = own_pause_loss(context, candidate.load, part, first.finish_ms);
@@ -150,7 +150,7 @@
         let own_loss = self.context.own_loss(finish_ms);
         Choice {
             engines: shares.iter().map(|share| share.index).collect(),
-            goes_first: self.part.goes_first,
+            is_prioritized: self.part.is_prioritized,
             first_event_ms: finish_ms,
             loss: own_loss + cost_to_others + pause_loss + helpers.len() as f64 * LOSS_PER_HELPER,
             gain: self.context.value() - self.context.late_loss(finish_ms) - pause_loss,
--- a/crates/serving/src/relays/followed_relays.rs
+++ b/crates/serving/src/relays/followed_relays.rs
@@ -32,20 +32,20 @@
 /// What this instance knows of the store through its relays.
 #[derive(Debug, Default)]
 pub struct FollowedRelays {
-    known_to: Option<u64>,
+    complete_revision: Option<u64>,
     confirmed: HashMap<SocketAddr, ConfirmedRevision>,
     excluded_until: HashMap<SocketAddr, MonoMs>,
 }
 
 impl FollowedRelays {
     /// Returns the store revision up to which all changes are known, from relays or from the store itself.
-    pub fn known_to(&self) -> Option<u64> {
-        self.known_to
+    pub fn complete_revision(&self) -> Option<u64> {
+        self.complete_revision
     }
 
     /// Records that all changes up to a store revision are known.
     pub fn mark_complete_at(&mut self, revision: u64) {
-        self.known_to = self.known_to.max(Some(revision));
+        self.complete_revision = self.complete_revision.max(Some(revision));
     }
 
     /// Returns whether the changes that came with a status follow without a gap on those that are known.
@@ -53,9 +53,9 @@
     /// They don't if an earlier update was lost, or if nothing is known yet: a part of the published
     /// entries would then be taken for all of them.
     pub fn is_contiguous(&self, status: &RelayStatus) -> bool {
-        match (status.since, self.known_to) {
+        match (status.since, self.complete_revision) {
             (None, _) => true,
-            (Some(since), Some(known_to)) => since <= known_to,
+            (Some(since), Some(complete_revision)) => since <= complete_revision,
             (Some(_), None) => false,
         }
     }
@@ -80,7 +80,9 @@
         }
         self.mark_complete_at(status.known.revision);
         self.excluded_until.remove(&from);
-        if self.known_to == Some(status.known.revision) && own_version >= status.known.version {
+        if self.complete_revision == Some(status.known.revision)
+            && own_version >= status.known.version
+        {
             let confirmed = ConfirmedRevision {
                 revision: status.known.revision,
                 as_of: MonoMs(now.0.saturating_sub(status.age_ms)),
--- a/crates/serving/src/serving/configured.rs
+++ b/crates/serving/src/serving/configured.rs
@@ -38,14 +38,14 @@
     }
 
     /// Records that the store didn't answer.
-    pub fn store_failed(&mut self, now: MonoMs) {
-        self.targets.store_failed();
+    pub fn record_store_failure(&mut self, now: MonoMs) {
+        self.targets.record_store_failure();
         self.store_lost_since.get_or_insert(now);
     }
 
     /// Records that the store answered, so that this instance may act as a relay again.
-    pub fn store_answers(&mut self, now: MonoMs) {
-        self.targets.store_answers(now);
+    pub fn record_store_answer(&mut self, now: MonoMs) {
+        self.targets.record_store_answer(now);
         self.store_lost_since = None;
         self.following.readmit(self.own.peer_address);
     }
--- a/crates/serving/src/serving/members.rs
+++ b/crates/serving/src/serving/members.rs
@@ -40,8 +40,8 @@
     }
 
     /// Replaces the addresses of the settings at which peers may be found.
-    pub fn add_seeds(&mut self, addresses: &[SocketAddr]) {
-        self.members.add_seeds(self.own.peer_address, addresses);
+    pub fn set_seeds(&mut self, addresses: &[SocketAddr]) {
+        self.members.set_seeds(self.own.peer_address, addresses);
     }
 
     /// Returns the state of this instance as it reports it to peers.
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -111,7 +111,7 @@
             pause_limit_ms: u32::try_from(request.pause_limit_ms).unwrap_or(u32::MAX),
             slack_ms: i32::try_from(request.slack_ms).unwrap_or(0),
             reserved: shape.reserved,
-            goes_first: choice.goes_first,
+            is_prioritized: choice.is_prioritized,
             first_event_ms: choice.first_event_ms as u32,
         };
         self.add_placed_job(now, &spec, placed.clone());
@@ -220,7 +220,7 @@
             engine: entries.remove(0),
             helpers,
             reserved: placed.reserved,
-            goes_first: placed.goes_first,
+            is_prioritized: placed.is_prioritized,
             first_event_ms: placement.first_event_ms,
             inputs: placement.inputs,
         })
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -113,17 +113,17 @@
 
     /// Returns the revision and version up to which this instance knows all published state.
     pub(super) fn known_state(&self) -> KnownState {
-        let known_to = self.following.known_to().unwrap_or(0);
+        let complete_revision = self.following.complete_revision().unwrap_or(0);
         KnownState {
-            revision: self.targets.confirmed_revision(known_to),
+            revision: self.targets.confirmed_revision(complete_revision),
             version: self.version(),
         }
     }
 
     /// Returns the revision up to which this instance knows all published changes, from the store or from
     /// relays; `None` before it first received them all.
-    pub fn known_to(&self) -> Option<u64> {
-        self.following.known_to()
+    pub fn complete_revision(&self) -> Option<u64> {
+        self.following.complete_revision()
     }
 
     /// Returns how long a starting instance waits to receive the published state from peers before it reads
@@ -163,7 +163,7 @@
         // noticed the outage.
         let role = self.store_role(now);
         if matches!(role, StoreRole::StandIn { is_store_lost } if is_store_lost) {
-            self.targets.store_failed();
+            self.targets.record_store_failure();
         }
     }
 
@@ -185,7 +185,7 @@
         let version = self.version();
         self.following.apply_status(now, from, status, version);
         if matches!(self.store_role(now), StoreRole::Follow(_)) {
-            self.targets.store_answers(now);
+            self.targets.record_store_answer(now);
         }
         applied
     }
--- a/crates/serving/src/serving/requests.rs
+++ b/crates/serving/src/serving/requests.rs
@@ -57,7 +57,7 @@
     pub reserved: Option<ReservedMemory>,
     /// Whether a small reservation is made at the answering engine as well, so that its part of the
     /// prompt is read ahead of prompts that arrive later.
-    pub goes_first: bool,
+    pub is_prioritized: bool,
     /// Expected time until the first event, in ms.
     pub first_event_ms: f64,
     /// Inputs of the decision, for the log.
--- a/crates/serving/src/targets/target_registry.rs
+++ b/crates/serving/src/targets/target_registry.rs
@@ -74,12 +74,12 @@
 impl TargetRegistry {
     /// Records that the store didn't answer. Entries that it removes until shortly after its return may have
     /// expired only because targets couldn't reach it either.
-    pub fn store_failed(&mut self) {
+    pub fn record_store_failure(&mut self) {
         self.store_lost = true;
     }
 
     /// Records that the store answered.
-    pub fn store_answers(&mut self, now: MonoMs) {
+    pub fn record_store_answer(&mut self, now: MonoMs) {
         if self.store_lost {
             self.store_lost = false;
             self.store_regained_at = Some(now);
