--- a/crates/serving/src/catalog/limits.rs
+++ b/crates/serving/src/catalog/limits.rs
@@ -12,7 +12,7 @@
 }
 
 impl Default for Limits {
-    /// Returns the limits that apply until a configuration is active.
+    /// Returns the limits that apply until a configuration is active: those that operators use today.
     fn default() -> Self {
         Self {
             max_head_bytes: 16_384,
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -108,8 +108,8 @@
     pub slack_ms: i32,
     /// Memory that is reserved at some of the helpers; `None` if one engine holds the prompt.
     pub reserved: Option<ReservedMemory>,
-    /// Whether a little memory is reserved at the answering engine as well, so that its part of the prompt
-    /// isn't read after those of prompts that arrive later.
+    /// Whether the answering engine reads its part ahead of prompts that arrive later. For this, a little
+    /// memory is reserved there as well.
     #[serde(rename = "goes_first")]
     pub is_prioritized: bool,
     /// Expected time from sending to the first event, in ms.
--- a/crates/serving/src/placement/choose.rs
+++ b/crates/serving/src/placement/choose.rs
@@ -32,8 +32,8 @@
 pub struct Choice {
     /// Indices among the candidates: the engine that answers, then the helpers.
     pub engines: Vec<usize>,
-    /// Whether the engine that answers is to read its part ahead of others. A small reservation of memory
-    /// there brings that about.
+    /// Whether the engine that answers is to read its part ahead of prompts that arrive later. For this, a
+    /// little memory has to be reserved there as well.
     pub is_prioritized: bool,
     /// Expected time of the first event, in ms from the choice.
     pub first_event_ms: f64,
--- a/crates/serving/src/serving/requests.rs
+++ b/crates/serving/src/serving/requests.rs
@@ -55,8 +55,8 @@
     pub helpers: Vec<TargetEntry>,
     /// Memory to be reserved at the first helper before the prompt is sent; `None` if none is needed.
     pub reserved: Option<ReservedMemory>,
-    /// Whether a small reservation is made at the answering engine as well, so that its part of the
-    /// prompt is read ahead of prompts that arrive later.
+    /// Whether the answering engine is to read its part ahead of prompts that arrive later. For this, a little
+    /// memory has to be reserved there as well.
     pub is_prioritized: bool,
     /// Expected time until the first event, in ms.
     pub first_event_ms: f64,
--- a/crates/serving/src/targets/target_notices.rs
+++ b/crates/serving/src/targets/target_notices.rs
@@ -8,7 +8,8 @@
 /// Maximum pause that a target may request, in ms; longer ones are capped.
 const MAX_PAUSE_MS: u64 = 60_000;
 
-/// Time after which a limit counts as unconfirmed unless the target or a peer has repeated it, in ms.
+/// Time for which a limit counts as confirmed after the target or a peer last stated it, in ms. After that,
+/// the reports of a limited engine are read again, which shows whether the limit still holds.
 const LIMIT_CONFIRMED_TTL_MS: u64 = 5_000;
 /// Time for which the limit of an unpublished target is kept, in ms: a peer's message may arrive before
 /// the entry that it refers to.
--- a/crates/serving/tests/serving/engine_load.rs
+++ b/crates/serving/tests/serving/engine_load.rs
@@ -33,8 +33,8 @@
     assert!(after.abs() < f64::EPSILON, "{after}");
 }
 
-/// A reply started two passes later than predicted: a prompt that arrives during a pass waits for its end,
-/// and is read in the next pass together with all others that wait.
+/// Guards against a reply that starts two passes later than predicted: a prompt that arrives during a pass
+/// waits for its end, and is read in the next pass together with all others that wait.
 #[test]
 fn a_prompt_that_arrives_during_a_pass_is_read_in_the_next() {
     let mut loads = writing_engine();
@@ -52,8 +52,9 @@
     assert!(next.total_ms().abs() < f64::EPSILON);
 }
 
-/// Sixteen streams counted as twelve, and the next prompts waited for seconds: prompts weren't counted
-/// between the predicted time of their first event and its report.
+/// Guards against an engine that gets more prompts than it has slots: sixteen streams counted as twelve, and
+/// the next prompts waited for seconds, because prompts weren't counted between the predicted time of their
+/// first event and its report.
 #[test]
 fn a_prompt_keeps_its_slot_until_its_first_event_is_reported() {
     let mut loads = writing_engine();
@@ -64,7 +65,7 @@
     assert_eq!(running, 2);
 }
 
-/// Without corrections the prediction drifts, since passes end a little later than computed.
+/// Guards against a prediction that drifts, since passes end a little later than computed.
 #[test]
 fn an_event_corrects_the_end_of_a_pass() {
     let mut loads = writing_engine();
@@ -91,8 +92,8 @@
     assert!((left_ms - 43.0).abs() < 2.0, "{left_ms}");
 }
 
-/// A stream paused for three seconds without a prediction: the capacity of a pass is a number of tokens, and
-/// attention over the token pairs of long prompts makes it longer than its tokens alone.
+/// Guards against a pause of three seconds that isn't predicted: the capacity of a pass is a number of
+/// tokens, and attention over the token pairs of long prompts makes the pass longer than its tokens alone.
 #[test]
 fn the_capacity_of_a_pass_is_in_tokens_and_not_in_time() {
     let mut loads = writing_engine();
@@ -148,7 +149,8 @@
     assert_eq!(loads.engine(START, &spec(), &engine()).running(), 0);
 }
 
-/// Replies were four times too late while an engine was slow: each prompt was placed by the published timing.
+/// Guards against replies that are four times too late while an engine is slow, because each prompt is placed
+/// by the published timing.
 #[test]
 fn passes_that_are_all_longer_raise_the_pace() {
     let mut loads = writing_engine();
@@ -185,8 +187,8 @@
     assert!(!loads.apply_pace(START + 2, &spec(), &engine(), 1.1));
 }
 
-/// The first audit of a burst starts after all others: an engine reads the parts that it helps with newest
-/// first.
+/// An engine reads the parts that it helps with newest first, so that the first audit of a burst starts after
+/// all others.
 #[test]
 fn the_newest_prioritized_part_is_read_before_the_others() {
     let mut loads = EngineLoads::default();
@@ -203,9 +205,9 @@
     assert!(engine_load.ends_in_ms(0) > engine_load.ends_in_ms(1) + 100.0);
 }
 
-/// A long prompt was refused as overload though the engines were idle: the engine that was to answer an
-/// earlier attempt reported a crashed helper, and the reading that was never done still counted as
-/// assigned.
+/// Guards against a long prompt that is refused as overload though the engines are idle: the engine that was
+/// to answer an earlier attempt reported a crashed helper, and the reading that was never done still counted
+/// as assigned.
 #[test]
 fn reading_that_is_never_done_does_not_count_as_assigned() {
     let mut loads = EngineLoads::default();
--- a/crates/serving/tests/serving/failing_engines.rs
+++ b/crates/serving/tests/serving/failing_engines.rs
@@ -19,8 +19,8 @@
     has_failed
 }
 
-/// One reply in twenty failed for seconds: an engine that reports that it is healthy resets all connections. It
-/// is always idle, so it looks like the best choice for each prompt.
+/// Guards against one reply in twenty that fails for seconds: an engine that reports that it is healthy resets
+/// all connections. It is always idle, so it looks like the best choice for each prompt.
 #[test]
 fn an_engine_that_fails_all_prompts_gets_few() {
     let mut serving = instance(1, 6);
@@ -37,7 +37,7 @@
     assert!((1..=4).contains(&failed), "{failed}");
 }
 
-/// An engine that failed for a moment would stay idle forever, though it has long recovered.
+/// Guards against an engine that failed for a moment and gets no prompts any more though it has recovered.
 #[test]
 fn an_engine_that_recovered_gets_prompts_again() {
     let mut serving = instance(1, 2);
@@ -59,8 +59,8 @@
     );
 }
 
-/// Connections to all engines are reset at the same time: each engine has failed some prompts and none is
-/// worse than the others, so prompts must not be refused for it.
+/// Guards against prompts that are refused because connections to all engines were reset at the same time:
+/// each engine has failed some prompts, and none is worse than the others.
 #[test]
 fn prompts_are_placed_where_all_engines_failed_some() {
     let mut serving = instance(1, 4);
--- a/crates/serving/tests/serving/pauses.rs
+++ b/crates/serving/tests/serving/pauses.rs
@@ -59,9 +59,9 @@
     choose(now, &spec(), &shape, &candidates).unwrap()
 }
 
-/// An audit starts on time and pauses for two seconds. The engine that answers it had read its part while
-/// others were still reading theirs, looked idle, and got a part of the next audit, which it reads in the
-/// pass of the first one's second event.
+/// Guards against an audit that starts on time and pauses for two seconds. The engine that answers it had read
+/// its part while others were still reading theirs, looked idle, and got a part of the next audit, which it
+/// reads in the pass of the first one's second event.
 #[test]
 fn the_engine_that_is_about_to_answer_gets_no_long_part() {
     let loads = audit_about_to_begin();
@@ -71,8 +71,8 @@
     assert!(!choice.engines.contains(&0), "{choice:?}");
 }
 
-/// A part that is read before the audit's first event pauses no stream, and leaving the engine idle would
-/// only make a reply wait behind others.
+/// Guards against a reply that waits behind others while the engine that is to answer an audit is left idle: a
+/// part that is read before the audit's first event pauses no stream.
 #[test]
 fn the_engine_that_is_about_to_answer_gets_parts_that_it_can_read_before() {
     let loads = audit_about_to_begin();
@@ -82,8 +82,8 @@
     assert!(choice.engines.contains(&0), "{choice:?}");
 }
 
-/// The first event of an audit may be a little late, and so is its report: a part that arrives meanwhile
-/// is read in the pass of the second event.
+/// The first event of an audit may come a little late, and its report later still: a part that arrives in
+/// the meantime is read in the pass of the second event.
 #[test]
 fn an_overdue_audit_may_start_at_any_moment() {
     let loads = audit_about_to_begin();
@@ -93,8 +93,8 @@
     assert!(!choice.engines.contains(&0), "{choice:?}");
 }
 
-/// An audit was expected after 2.8 s, on time, and started after 4.7 s: two engines that write replies
-/// read one half of it each, which takes two passes, and only one was predicted.
+/// Guards against an audit that is expected after 2.8 s, on time, and starts after 4.7 s: two engines that
+/// write replies read one half of it each, which takes two passes, and only one was predicted.
 #[test]
 fn a_part_that_fills_several_passes_takes_all_of_them() {
     let mut loads = EngineLoads::default();
--- a/crates/serving/tests/serving/placement.rs
+++ b/crates/serving/tests/serving/placement.rs
@@ -91,8 +91,8 @@
     assert!(saturated > 4.0 * value);
 }
 
-/// All instances start at the same time without links to each other, and all callers return at once: the
-/// first engine of the list would get all requests.
+/// Guards against a first engine of the list that gets all requests, when all instances start without links
+/// to each other and all callers return at the same time.
 #[test]
 fn instances_that_know_nothing_of_each_other_choose_different_engines() {
     let engines: HashSet<String> = (1..=9)
@@ -148,8 +148,8 @@
     assert_ne!(first.engine.id, second.engine.id);
 }
 
-/// Every long prompt would wait for one slow helper. The helper writes no stream, so only its own report
-/// shows that it is slow.
+/// Guards against long prompts that all wait for one slow helper. The helper writes no stream, so only its
+/// own report shows that it is slow.
 #[test]
 fn an_engine_that_reports_that_it_is_slow_is_avoided() {
     let mut serving = instance(1, 6);
@@ -165,8 +165,8 @@
     assert!(!engines.contains(&"e-03".to_owned()), "{engines:?}");
 }
 
-/// A long prompt whose engine failed after seven seconds would be refused though its caller waits for
-/// twelve: a late answer still has a part of its value.
+/// Guards against a long prompt whose engine fails after seven seconds and that is refused then, though its
+/// caller waits for twelve: a late answer still has a part of its value.
 #[test]
 fn a_prompt_that_is_late_is_served_while_its_caller_waits() {
     let mut serving = instance(1, 21);
@@ -182,8 +182,8 @@
     assert!(placement.first_event_ms < 5_000.0);
 }
 
-/// A reply would be cut off though its engine is still writing it: one connection to the engine failed,
-/// and no other engine could take the stream.
+/// Guards against a reply that is cut off though its engine is still writing it: one connection to the engine
+/// failed, and no other engine could take the stream.
 #[test]
 fn a_stream_is_moved_only_to_an_engine_that_can_be_reached() {
     let mut alone = instance(1, 1);
@@ -201,8 +201,8 @@
     assert_eq!((before, after, both), (false, true, false));
 }
 
-/// A caller would get only half of its reply: the engine failed under load, and the rest was refused as
-/// overload.
+/// Guards against a caller that gets only half of its reply: the engine failed under load, and the rest was
+/// refused as overload.
 #[test]
 fn a_started_stream_is_resumed_under_any_load() {
     let mut serving = instance(1, 2);
@@ -218,9 +218,9 @@
     place(&mut serving, START, 5_000).unwrap_err();
 }
 
-/// Member histories would start on time and then pause for too long: they were written on engines that
-/// read audits, two parts of which in one pass exceed their limit, while engines that write replies had
-/// free slots.
+/// Guards against member histories that start on time and then pause for too long: they were written on
+/// engines that read audits, two parts of which in one pass exceed their limit, while engines that write
+/// replies had free slots.
 #[test]
 fn beside_long_prompts_a_history_is_written_where_replies_are() {
     let mut serving = instance(1, 21);
@@ -248,9 +248,9 @@
     assert!(short.contains(&placement.placed.engines[0]));
 }
 
-/// All callers return at the same time to instances that have all restarted. Each instance knows a few
-/// prompts of the others, and all would pack their short streams on the first engine that they know
-/// streams of.
+/// Guards against instances that all pack their short streams on the first engine on which they know any,
+/// when all callers return at the same time to instances that have all restarted and know only a few prompts
+/// of each other.
 #[test]
 fn instances_that_have_just_found_each_other_do_not_all_pack_one_engine() {
     let mut first = instance(1, 21);
@@ -274,8 +274,8 @@
     assert!(engines.values().all(|count| *count <= 12), "{engines:?}");
 }
 
-/// Half of the audits of a burst would be late, by their first event or a pause, if reading were assigned for
-/// nearly all of the engines' time: writing, pauses and unpredicted work need some of it.
+/// Guards against a burst of which half of the audits are late, by their first event or a pause, because
+/// reading takes nearly all of the engines' time: writing, pauses and unpredicted work need some of it.
 #[test]
 fn a_burst_of_audits_leaves_engines_a_part_of_their_time() {
     let mut serving = instance(1, 21);
@@ -307,8 +307,8 @@
     assert!((0.6..0.82).contains(&share), "{share}");
 }
 
-/// An audit would start on time and then pause for seconds: it overtook an older part of another audit, which
-/// its engine reads in the pass of its second event.
+/// Guards against an audit that starts on time and then pauses for seconds: it overtook an older part of
+/// another audit, which its engine reads in the pass of its second event.
 #[test]
 fn a_prompt_that_overtakes_a_long_part_is_expected_to_be_paused_by_it() {
     let mut loads = EngineLoads::default();
@@ -337,9 +337,9 @@
     assert!(gain(1_000.0) < 0.5 * gain(60_000.0));
 }
 
-/// A review read by twelve engines would be late: a newer prompt takes four of them, where its parts are
-/// read first, next to four idle ones. Each of the four counted with a twelfth of the review's loss, while
-/// a single delayed part costs all of it.
+/// Guards against a review, read by twelve engines, that is late: a newer prompt took four of them, where its
+/// parts are read first, although four others were idle. Each of the four counted with a twelfth of the
+/// review's loss, while a single delayed part costs all of it.
 #[test]
 fn a_prompt_avoids_engines_that_all_read_another() {
     let mut loads = EngineLoads::default();
@@ -391,8 +391,8 @@
     assert!(fault.contains("`refusals`") && fault.contains("refusal-by-worth"));
 }
 
-/// Prompts would be refused for seconds though an engine is idle: it has restarted under its name, and the
-/// load of its former run still counted.
+/// Guards against prompts that are refused for seconds though an engine is idle: it has restarted under its
+/// name, and the load of its former run still counted.
 #[test]
 fn a_restarted_engine_has_no_load_of_its_former_run() {
     let mut serving = instance(1, 0);
@@ -410,8 +410,8 @@
     assert_eq!(after, before);
 }
 
-/// Instances learn of a restart on different paths and in different order: what a peer reports of the
-/// former run must not count for the new one.
+/// Guards against load of a former run that counts for the new one: instances learn of a restart on different
+/// paths and in different order, so a peer may still report prompts of the former run.
 #[test]
 fn news_of_the_former_run_does_not_count_for_the_new_one() {
     let mut serving = instance(1, 0);
--- a/crates/serving/tests/serving/relays.rs
+++ b/crates/serving/tests/serving/relays.rs
@@ -93,8 +93,8 @@
     assert_eq!(count_using(&fleet, "e-00"), 0);
 }
 
-/// The same where the relays run and send frames, but the store refuses them: nothing shows that no changes
-/// arrive.
+/// The same where the relays run and send frames, but the store refuses them: without a report of the relays,
+/// nothing shows that changes no longer arrive.
 #[test]
 fn relays_that_the_store_refuses_are_not_followed() {
     let mut fleet = settled_fleet(60, 3);
@@ -114,8 +114,8 @@
     assert!(readers.len() <= 12, "{readers:?}");
 }
 
-/// Guards against relays that never read the store again after it refused them for five seconds: they
-/// follow others since then, and nothing tells them that the store serves them again.
+/// Guards against relays that never read the store again after it refused them for five seconds: they have
+/// followed others since, and nothing tells them that the store serves them again.
 #[test]
 fn relays_that_the_store_refused_for_a_while_read_it_again() {
     let mut fleet = settled_fleet(60, 3);
--- a/crates/serving/tests/serving/targets.rs
+++ b/crates/serving/tests/serving/targets.rs
@@ -43,8 +43,8 @@
     assert!(!is_ready(&registry));
 }
 
-/// All requests would be refused though the targets are alive: their entries expired while the store was
-/// down.
+/// Guards against requests that are all refused though the targets are alive: their entries expired while
+/// the store was down.
 #[test]
 fn entries_that_expired_while_the_store_was_down_count_during_the_grace_time() {
     let mut registry = registry();
@@ -76,8 +76,8 @@
     assert!(is_ready(&registry));
 }
 
-/// A draining target would stay in use if its removal, which came while the store was down, were taken for
-/// an expired entry.
+/// Guards against a draining target whose removal, which came while the store was down, is taken for an
+/// expired entry and stays unconfirmed.
 #[test]
 fn a_draining_target_is_removed_with_its_entry() {
     let mut registry = registry();
@@ -122,7 +122,8 @@
     assert_eq!(names, ["e-2"]);
 }
 
-/// A target that reports that it is healthy but fails four of ten calls would get as many as the others.
+/// Guards against a target that reports that it is healthy, fails four of ten calls and gets as many as the
+/// others.
 #[test]
 fn a_target_that_fails_gets_few_calls() {
     let entries = [
@@ -205,7 +206,7 @@
     assert_eq!(&*registry.ready_at(address_of("e-1")).unwrap().id, "e-2");
 }
 
-/// Calls would be addressed to a target that no longer runs: its last publication reached the store after the
+/// Guards against calls to a target that no longer runs: its last publication reached the store after the
 /// first one of the target that took over its address.
 #[test]
 fn the_later_start_owns_an_address_whatever_was_published_last() {
@@ -217,8 +218,8 @@
     assert_eq!(registry.ready_ids(), ["e-1#2000"]);
 }
 
-/// Prompts would be refused for two seconds after the store's return: entries of crashed targets expired, the
-/// removals are unconfirmed, and the entries of the next runs have the same addresses.
+/// Guards against prompts that are refused for two seconds after the store's return: entries of crashed targets
+/// expired, the removals are unconfirmed, and the entries of the next runs have the same addresses.
 #[test]
 fn an_expired_entry_gives_way_to_the_next_run_immediately() {
     let mut registry = registry();
@@ -279,8 +280,8 @@
     assert_eq!((former.name(), current.name()), ("e-1", "e-1"));
 }
 
-/// A target would get no requests while another program's entry exists: both runs had the same id, and the
-/// removal of one removed the other.
+/// Guards against a target that gets no requests while another program's entry exists: both runs had the same
+/// id, and the removal of one removed the other.
 #[test]
 fn no_two_runs_have_the_same_id() {
     let runs = [
@@ -303,8 +304,8 @@
     }
 }
 
-/// A target would get requests for seconds after its entry became unreadable: the store was down a moment
-/// ago, and removals are unconfirmed then.
+/// Guards against a target that gets requests for seconds after its entry became unreadable: the store was
+/// down a moment ago, and removals are unconfirmed then.
 #[test]
 fn an_entry_that_becomes_unreadable_removes_its_target_immediately() {
     let mut registry = registry();
