--- a/crates/serving/src/engines/engine_loads.rs
+++ b/crates/serving/src/engines/engine_loads.rs
@@ -14,7 +14,7 @@
 /// that only prompts whose report was lost are evicted.
 const JOB_TTL_MS: u64 = 30_000;
 
-/// A prompt in flight: some instance of the fleet has sent it to engines, and its end wasn't reported.
+/// A prompt in flight: some instance of the fleet sent it to engines, and its end hasn't been reported.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// The prompt and its engines, as chosen here or reported by a peer.
--- a/crates/serving/src/relays/followed_relays.rs
+++ b/crates/serving/src/relays/followed_relays.rs
@@ -103,8 +103,8 @@
         self.excluded_until.remove(&address);
     }
 
-    /// Returns whether an instance may read the store for others: it isn't known that the store leaves it
-    /// without answers.
+    /// Returns whether an instance may read the store for others: false while it is excluded because the store
+    /// didn't answer it.
     pub fn may_read(&self, now: MonoMs, address: SocketAddr) -> bool {
         let until = self.excluded_until.get(&address);
         until.is_none_or(|until| *until <= now)
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -57,15 +57,15 @@
     calls: CallLoads,
     notices: TargetNotices,
     quotas: QuotaTable,
-    next_permit: u64,
+    last_permit_number: u64,
     members: Membership,
     budget: FleetBudget,
     crashes: CrashTracker,
     groups: EngineGroups,
-    /// Groups of engines in which peers were requested to choose for a prompt of this instance.
+    /// Groups in which peers were asked to choose engines for a prompt of this instance.
     requested_groups: HashMap<JobId, Vec<EngineGroup>>,
     news: News,
-    next_job: u64,
+    last_job_number: u64,
     /// Own state as of the last heartbeat; `None` before the first.
     last_stated: Option<Member>,
     /// Whether this instance, as a hub, has learned something of a member that its last roster lacks.
@@ -75,13 +75,14 @@
     /// What a peer has known for a while and this instance still lacks.
     lag: Option<PeerLag>,
     /// The relays that this instance follows, and what it knows of the store through them.
-    following: FollowedRelays,
+    followed_relays: FollowedRelays,
     /// The instances that follow this one.
     followers: Followers,
     /// When this instance last completed a read of the store.
     read_at: Option<MonoMs>,
     /// Time of the first call that the store didn't answer since its last answer; `None` while it answers.
     store_lost_since: Option<MonoMs>,
+    /// Tells which mechanisms are enabled; all are by default.
     mechanisms: DisabledMechanisms,
     /// When a peer last reported a placed prompt; `None` if none ever has.
     last_peer_prompt_at: Option<MonoMs>,
@@ -101,19 +102,19 @@
             calls: CallLoads::default(),
             notices: TargetNotices::default(),
             quotas: QuotaTable::default(),
-            next_permit: 0,
+            last_permit_number: 0,
             members: Membership::default(),
             budget: FleetBudget::new(rule),
             crashes: CrashTracker::default(),
             groups: EngineGroups::default(),
             requested_groups: HashMap::new(),
             news: News::default(),
-            next_job: 0,
+            last_job_number: 0,
             last_stated: None,
             is_roster_due: false,
             settled_at: MonoMs(0),
             lag: None,
-            following: FollowedRelays::default(),
+            followed_relays: FollowedRelays::default(),
             followers: Followers::default(),
             read_at: None,
             store_lost_since: None,
--- a/crates/serving/src/serving/configured.rs
+++ b/crates/serving/src/serving/configured.rs
@@ -47,7 +47,7 @@
     pub fn record_store_answer(&mut self, now: MonoMs) {
         self.targets.record_store_answer(now);
         self.store_lost_since = None;
-        self.following.readmit(self.own.peer_address);
+        self.followed_relays.readmit(self.own.peer_address);
     }
 
     /// Returns whether the last call to the store got no answer.
--- a/crates/serving/src/serving/news.rs
+++ b/crates/serving/src/serving/news.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the addresses of the peers that choose engines of a group for this instance's prompts, in
-    /// the order in which to request it of them. Empty if this instance chooses them itself.
+    /// the order in which to ask them. Empty if this instance chooses them itself.
     pub fn deciders(&self, group: EngineGroup) -> Vec<SocketAddr> {
         let ranks = self.members.ranks();
         let deciders = ranks.deciders(group);
@@ -118,7 +118,7 @@
         frames
     }
 
-    /// Returns the groups whose deciders were informed of a prompt or requested to choose engines for it.
+    /// Returns the groups whose deciders were informed of a prompt or asked to choose engines for it.
     pub(super) fn groups_of(&self, job: JobId) -> Vec<EngineGroup> {
         let requested = self
             .requested_groups
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -35,10 +35,10 @@
             request.fingerprint,
             request.is_repeat,
         )?;
-        self.next_job += 1;
+        self.last_job_number += 1;
         Ok(JobId {
             run: self.own.run,
-            number: self.next_job,
+            number: self.last_job_number,
         })
     }
 
@@ -51,7 +51,7 @@
         groups
     }
 
-    /// Records that a peer was requested to choose engines for a prompt. Even if its response never arrives,
+    /// Records that a peer was asked to choose engines for a prompt. Even if its response never arrives,
     /// it may have recorded the prompt as sent, so the deciders of the group get a notice of its end.
     pub fn record_placement_request(&mut self, job: JobId, group: EngineGroup) {
         self.requested_groups.entry(job).or_default().push(group);
--- a/crates/serving/src/serving/quotas.rs
+++ b/crates/serving/src/serving/quotas.rs
@@ -132,9 +132,9 @@
         limit_per_s: f64,
         reply_to: Option<SocketAddr>,
     ) -> PermitRequest {
-        self.next_permit += 1;
+        self.last_permit_number += 1;
         PermitRequest {
-            number: self.next_permit,
+            number: self.last_permit_number,
             reply_to,
             target: target.clone(),
             limit_per_s,
@@ -153,8 +153,9 @@
         }
     }
 
-    /// Returns the instance that grants requests to a target for all instances: a hub in a large fleet,
-    /// since all instances link to hubs, else any ready instance. `None` if none is known.
+    /// Returns the instance that grants requests to a target for all instances, chosen by a hash among the hubs
+    /// in a large fleet, since all instances link to hubs, else among the ready instances. `None` if there are
+    /// none, or if the mechanism is switched off.
     fn holder(&self, target: &TargetId) -> Option<SocketAddr> {
         if !self.mechanisms.is_enabled(Mechanism::SharedQuotas) {
             return None;
--- a/crates/serving/src/serving/relaying.rs
+++ b/crates/serving/src/serving/relaying.rs
@@ -67,10 +67,10 @@
         if !self.members.is_large() || is_relay {
             return StoreRole::Watch;
         }
-        match self.following.freshest(now) {
+        match self.followed_relays.freshest(now) {
             Some(relay) => StoreRole::Follow(relay),
             None => StoreRole::StandIn {
-                is_store_lost: self.following.is_store_lost(now),
+                is_store_lost: self.followed_relays.is_store_lost(now),
             },
         }
     }
@@ -84,7 +84,7 @@
             .iter()
             .take(RELAY_CANDIDATES);
         candidates
-            .filter(move |address| self.following.may_read(now, **address))
+            .filter(move |address| self.followed_relays.may_read(now, **address))
             .take(RELAYS)
             .copied()
     }
@@ -113,7 +113,7 @@
 
     /// Returns the revision and version up to which this instance knows all published state.
     pub(super) fn known_state(&self) -> KnownState {
-        let complete_revision = self.following.complete_revision().unwrap_or(0);
+        let complete_revision = self.followed_relays.complete_revision().unwrap_or(0);
         KnownState {
             revision: self.targets.confirmed_revision(complete_revision),
             version: self.version(),
@@ -123,7 +123,7 @@
     /// Returns the revision up to which this instance knows all published changes, from the store or from
     /// relays; `None` before it first received them all.
     pub fn complete_revision(&self) -> Option<u64> {
-        self.following.complete_revision()
+        self.followed_relays.complete_revision()
     }
 
     /// Returns how long a starting instance waits to receive the published state from peers before it reads
@@ -141,7 +141,7 @@
 
     /// Records that this instance has read all published changes up to a revision of the store.
     pub fn mark_complete_at(&mut self, now: MonoMs, revision: u64) {
-        self.following.mark_complete_at(revision);
+        self.followed_relays.mark_complete_at(revision);
         self.read_at = Some(now);
         self.followers.schedule_update();
     }
@@ -150,13 +150,13 @@
     /// answer.
     pub(super) fn tick_relays(&mut self, now: MonoMs) {
         self.followers.evict_expired(now);
-        self.following.evict_expired(now);
+        self.followed_relays.evict_expired(now);
         let own = self.own.peer_address;
         let is_store_lost = self
             .store_lost_since
             .is_some_and(|since| now.since(since) >= STORE_LOSS_TIMEOUT_MS);
-        if is_store_lost && self.following.may_read(now, own) {
-            self.following.exclude(now, own);
+        if is_store_lost && self.followed_relays.may_read(now, own) {
+            self.followed_relays.exclude(now, own);
             self.followers.schedule_update();
         }
         // Entries that are removed after an outage may merely have expired during it, even if only the relays
@@ -176,14 +176,15 @@
         targets: Vec<TargetChange>,
     ) -> Vec<TargetChange> {
         let applied = match status.since {
-            _ if !self.following.is_contiguous(status) => Vec::new(),
+            _ if !self.followed_relays.is_contiguous(status) => Vec::new(),
             None => self
                 .targets
                 .apply_peer_snapshot(now, status.known.revision, targets),
             Some(_) => self.apply_changes(now, targets),
         };
         let version = self.version();
-        self.following.apply_status(now, from, status, version);
+        self.followed_relays
+            .apply_status(now, from, status, version);
         if matches!(self.store_role(now), StoreRole::Follow(_)) {
             self.targets.record_store_answer(now);
         }
@@ -219,7 +220,7 @@
 
     /// Returns this instance's status as a relay; `None` if it never received the complete published state.
     fn relay_status(&self, now: MonoMs) -> Option<RelayStatus> {
-        let followed = self.following.freshest(now);
+        let followed = self.followed_relays.freshest(now);
         let relayed_as_of = followed.map(|relay| MonoMs(now.0.saturating_sub(relay.age_ms)));
         let as_of = self.read_at.max(relayed_as_of)?;
         let known = self.known_state();
@@ -227,7 +228,7 @@
             known,
             age_ms: now.since(as_of),
             since: Some(known.revision),
-            is_store_lost: !self.following.may_read(now, self.own.peer_address),
+            is_store_lost: !self.followed_relays.may_read(now, self.own.peer_address),
         })
     }
 
--- a/crates/serving/src/serving/requests.rs
+++ b/crates/serving/src/serving/requests.rs
@@ -38,7 +38,8 @@
     /// requesting instance may send nothing now.
     #[serde(rename = "tried")]
     pub excluded: Vec<TargetId>,
-    /// Whether it was sent to an engine before, so that it counts against the retry budget.
+    /// Whether it was sent to an engine before and is to be taken from the retry budget; false once it was
+    /// taken.
     pub is_repeat: bool,
     /// Whether its caller has received a part of the stream already.
     pub is_resumed: bool,
@@ -73,7 +74,8 @@
     pub fingerprint: Fingerprint,
     /// Targets that were tried before.
     pub tried: &'a [TargetId],
-    /// Whether it was sent to a target before, so that it counts against the retry budget.
+    /// Whether it was sent to a target before and is to be taken from the retry budget; false once it was
+    /// taken.
     pub is_repeat: bool,
 }
 
