--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -16,14 +16,15 @@
     Dispatch(Box<Dispatch>),
     /// Send the caller its final answer. The request has ended.
     Finish(Outcome),
-    /// Forward the request to the daemon that issued its ticket, and that daemon's answer to the
-    /// caller.
+    /// Forward the request to the daemon that issued its ticket, and pass that daemon's answer on to
+    /// the caller.
     Forward {
         /// Request to forward.
         request: RequestId,
         /// Address of that daemon for callers.
         to: SocketAddr,
-        /// Incarnation that issued the ticket; another one at the same address must not answer.
+        /// Incarnation that issued the ticket. A later run at the same address knows nothing of the ticket
+        /// and must not answer.
         home: Incarnation,
     },
     /// Answer a request with the answer kept from the run under its ticket.
@@ -80,7 +81,7 @@
     },
     /// Read the list of instances from the platform.
     ReadInstances,
-    /// Log a decision.
+    /// Log a decision, for operators.
     Decided(Decision),
     /// End the process: a stop was requested and no request is in flight.
     Stopped,
--- a/crates/core/src/core/on_attempt.rs
+++ b/crates/core/src/core/on_attempt.rs
@@ -20,7 +20,7 @@
 
 /// Maximum number of attempts of one request, including the first.
 const MAX_ATTEMPTS: usize = 3;
-/// Delay after which a caller may retry after a transient failure, in ms.
+/// Delay after which a caller may retry if the request ended by a transient failure, in ms.
 const RETRY_AFTER_MS: u64 = 1_000;
 
 impl Core {
@@ -188,9 +188,9 @@
             return;
         };
         let kind = self.current_outcome_kind(request);
-        let repeat =
+        let may_retry =
             kind == OutcomeKind::NotRun || entry.idempotent || may_retry_for_outcome(entry.phase());
-        let retry_after_ms = retry_after_ms(reason).filter(|_| repeat);
+        let retry_after_ms = retry_after_ms(reason).filter(|_| may_retry);
         if let Some(in_flight) = entry.in_flight_attempt().cloned() {
             self.cancel(&in_flight);
         }
--- a/crates/core/src/core/on_group.rs
+++ b/crates/core/src/core/on_group.rs
@@ -22,9 +22,12 @@
     },
 };
 
-/// Time in ms by which a long prompt is ranked earlier for each ms that it takes to read, multiplied by the
+/// Time in ms by which a long prompt is ranked earlier for each ms of its prefill time, multiplied by the
 /// policy's `long_first_token_weight`. At 0, prompts are ranked by acceptance alone.
 const RANK_ADVANCE_PER_READ_MS: f64 = 0.0;
+/// Prefill time per token that the rank of a long prompt assumes, in ms. The same for all engines, since the
+/// rank is needed before engines are chosen.
+const RANK_TOKEN_MS: f64 = 0.05;
 /// Maximum delay before the first retry to reserve a group, in ms. It doubles with each failed attempt up
 /// to [`MAX_BACK_OFF_MS`].
 const INITIAL_BACK_OFF_MS: u64 = 50;
@@ -34,7 +37,7 @@
 const NONE_LIVE_RETRY_MS: u64 = 5_000;
 
 impl Core {
-    /// Chooses engines for a long prompt and queues it there. Reserves the engines if the prompt can start
+    /// Chooses engines for a long prompt and queues it at them. Reserves the engines if the prompt can start
     /// immediately, otherwise schedules a retry.
     pub(super) fn place_on_engines(&mut self, now: MonoMs, request: RequestId) {
         let avoided = self.avoided_targets(now, request);
@@ -57,7 +60,7 @@
         };
         let waiting = WaitingPrompt {
             since: self.queued_since(entry),
-            claim: group.claim,
+            queue_id: group.queue_id,
         };
         let chosen = self.router.choose_group(
             &context,
@@ -90,19 +93,20 @@
         }
     }
 
-    /// Returns the time by which a long prompt is ranked among the waiting ones, earliest first. The
-    /// longer a prompt takes to read, the earlier its rank, since its position costs the others least.
+    /// Returns the time by which a long prompt is ranked among the waiting ones, earliest first: when it was
+    /// accepted, less [`RANK_ADVANCE_PER_READ_MS`] for its prefill. A prompt that takes longer to prefill ranks
+    /// earlier, since its position among the others costs them least.
     fn queued_since(&self, entry: &Request) -> MonoMs {
         let policy = self.records.in_force().policy();
         let routing_request =
             RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
-        let read_ms = routing_request.prompt_tokens() as f64 * 0.05;
+        let read_ms = routing_request.prompt_tokens() as f64 * RANK_TOKEN_MS;
         let ahead_ms = read_ms * RANK_ADVANCE_PER_READ_MS * policy.long_first_token_weight;
         MonoMs(entry.accepted.0.saturating_sub(ahead_ms as u64))
     }
 
-    /// Removes the request's group and releases its reservations, or creates a group with a provider drawn
-    /// at random. `None` if the request has ended.
+    /// Removes the request's group and releases its reservations, or creates a group and assigns it the next
+    /// provider by the route's shares. `None` if the request has ended.
     fn take_released_group(&mut self, now: MonoMs, request: RequestId) -> Option<Group> {
         if let Some(group) = self.groups.remove(request) {
             self.release_parts(&group);
@@ -112,13 +116,13 @@
                 ..group
             });
         }
-        let claim = self.random_attempt_id();
+        let queue_id = self.random_attempt_id();
         let entry = self.requests.get(request)?;
         let policy = self.records.in_force().policy();
         let routing_request =
             RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
-        let provider = self.router.draw_provider(&routing_request, &mut self.rng);
-        Some(Group::new(now, claim, provider))
+        let provider = self.router.assign_provider(&routing_request, &mut self.rng);
+        Some(Group::new(now, queue_id, provider))
     }
 
     /// Queues the prompt at the chosen engines and removes it from the queues of all others.
@@ -130,31 +134,31 @@
         waiting: WaitingPrompt,
         chosen: &ChosenGroup,
     ) {
-        if group.claimed != chosen.targets {
+        if group.queued_targets != chosen.targets {
             let names: Vec<&str> = chosen.targets.iter().map(TargetName::as_str).collect();
             let names = names.join(", ");
             let text = format!("queued at {names}, free in {:.0} ms", chosen.wait_ms);
             self.record_decision(now, Subsystem::Placement, Some(request), text);
             self.remove_from_queues(group);
             self.unsent_loads.extend(chosen.targets.iter().cloned());
-            group.claimed.clone_from(&chosen.targets);
+            group.queued_targets.clone_from(&chosen.targets);
         }
-        let claim = QueuedPrompt {
-            id: waiting.claim,
+        let prompt = QueuedPrompt {
+            id: waiting.queue_id,
             since: waiting.since,
             read_ms: chosen.read_ms,
         };
-        for target in &group.claimed {
+        for target in &group.queued_targets {
             if let Some(state) = self.targets.get_mut(target) {
-                state.load.enqueue(claim);
+                state.load.enqueue(prompt);
             }
         }
     }
 
     fn remove_from_queues(&mut self, group: &Group) {
-        for target in &group.claimed {
+        for target in &group.queued_targets {
             let state = self.targets.get_mut(target);
-            if state.is_some_and(|state| state.load.dequeue(group.claim)) {
+            if state.is_some_and(|state| state.load.dequeue(group.queue_id)) {
                 self.unsent_loads.push(target.clone());
             }
         }
@@ -163,7 +167,7 @@
     /// Schedules the next attempt to reserve the group. The jitter keeps daemons that collided at the same
     /// engines from colliding again.
     fn schedule_retry(&mut self, now: MonoMs, request: RequestId, mut group: Group) {
-        let full_ms = (INITIAL_BACK_OFF_MS << group.tries.min(8)).min(MAX_BACK_OFF_MS);
+        let full_ms = (INITIAL_BACK_OFF_MS << group.failed_attempts.min(8)).min(MAX_BACK_OFF_MS);
         let retry_at = now + self.rng.u64(full_ms / 2..=full_ms);
         group.state = GroupState::Waiting { retry_at };
         self.groups.insert(request, group);
@@ -186,7 +190,7 @@
             "reserving at {}: {} tokens each, attempt {}",
             names.join(", "),
             chosen.part_tokens,
-            group.tries + 1
+            group.failed_attempts + 1
         );
         self.record_decision(now, Subsystem::Placement, Some(request), text);
         group.part_tokens = chosen.part_tokens;
@@ -295,7 +299,7 @@
     }
 
     /// Releases the whole group when one engine refuses or doesn't answer, so that no part stays reserved
-    /// while another is waited for.
+    /// while the prompt waits for another engine.
     pub(super) fn on_not_reserved(
         &mut self,
         now: MonoMs,
@@ -311,7 +315,7 @@
         };
         let text = format!("{target} {cause}");
         match group.state {
-            GroupState::Held { .. } => self.on_part_lost(now, request, &text),
+            GroupState::Reserved { .. } => self.on_part_lost(now, request, &text),
             _ => self.retry_later(now, request, &text),
         }
     }
@@ -335,7 +339,7 @@
         let Some(mut group) = self.take_released_group(now, request) else {
             return;
         };
-        group.tries += 1;
+        group.failed_attempts += 1;
         let text = format!("reservation delayed: {text}");
         self.record_decision(now, Subsystem::Placement, Some(request), text);
         self.schedule_retry(now, request, group);
@@ -346,8 +350,8 @@
         for due in self.groups.due(now) {
             match due {
                 // No engines are chosen while the view is stale, but reservations are still renewed.
-                DueGroup::Try(_) if self.refresh.is_some() => {}
-                DueGroup::Try(request) => self.place_on_engines(now, request),
+                DueGroup::Retry(_) if self.refresh.is_some() => {}
+                DueGroup::Retry(request) => self.place_on_engines(now, request),
                 DueGroup::Unanswered(request) => {
                     self.retry_later(now, request, "an engine didn't answer in time");
                 }
@@ -375,7 +379,7 @@
     }
 
     fn release_parts(&mut self, group: &Group) {
-        for part in group.held() {
+        for part in group.parts_to_release() {
             self.release(&part.target, part.reservation);
         }
     }
--- a/crates/core/src/core/on_load.rs
+++ b/crates/core/src/core/on_load.rs
@@ -1,4 +1,5 @@
-//! Load of targets by prompts sent from here: recorded when they are sent and end, and sent to peers.
+//! Load that this daemon's prompts put on targets: recorded when a prompt is sent and when it ends, and sent
+//! to peers.
 
 use {
     super::Core,
@@ -17,8 +18,8 @@
 
 /// Interval at which the load by this daemon's long prompts is sent to peers again, in ms.
 const RESEND_INTERVAL_MS: u64 = 2_000;
-/// Maximum predicted wait of a prompt, as a fraction of its read time, for it to be a sample of the
-/// target's read rate.
+/// Maximum predicted wait of a prompt, as a fraction of its prefill time, for it to be a sample
+/// of the target's prefill rate.
 const MAX_SAMPLE_WAIT_FRACTION: f64 = 0.1;
 
 impl Core {
@@ -45,7 +46,7 @@
         let routing_request =
             RoutingRequest::new(&entry.submission.work, &entry.route, &entry.tried, policy);
         let group = self.groups.get(request);
-        let job = SentPrompt {
+        let prompt = SentPrompt {
             attempt,
             sent_at: now,
             wait_ms: choice.wait_ms,
@@ -65,19 +66,22 @@
         for target in &targets {
             if let Some(state) = self.targets.get_mut(target) {
                 let is_helper = *target != choice.target;
-                state.load.record_sent(SentPrompt { is_helper, ..job });
+                state.load.record_sent(SentPrompt {
+                    is_helper,
+                    ..prompt
+                });
             }
         }
-        if job.weight > Weight::Light {
+        if prompt.weight > Weight::Light {
             self.unsent_loads.extend(targets);
         }
-        if job.weight < Weight::Long {
-            self.router.record_short_prompt(now, job.read_ms);
+        if prompt.weight < Weight::Long {
+            self.router.record_short_prompt(now, prompt.read_ms);
         }
     }
 
-    /// Records that the first token of an attempt arrived. Its time may be a sample of the target's read
-    /// rate, and its prompt no longer counts as waiting.
+    /// Records that the first token of an attempt arrived. Its time may be a sample of the target's
+    /// prefill rate, and its prompt no longer counts as waiting.
     pub(super) fn record_first_token(
         &mut self,
         now: MonoMs,
@@ -105,14 +109,14 @@
         for target in [&in_flight.target].into_iter().chain(&in_flight.helpers) {
             let state = self.targets.get_mut(target);
             let ended = state.and_then(|state| state.load.remove(in_flight.attempt));
-            if ended.is_some_and(|job| job.weight > Weight::Light) {
+            if ended.is_some_and(|prompt| prompt.weight > Weight::Light) {
                 self.unsent_loads.push(target.clone());
             }
         }
     }
 
-    /// Sends the load by all long prompts again from time to time. Guards against lost frames, and renews
-    /// queued prompts at peers, which expire them so that those of a dead daemon go away.
+    /// Sends the load by all long prompts again every [`RESEND_INTERVAL_MS`]. Guards against lost frames, and
+    /// renews the queued prompts at peers, which expire them so that those of a dead daemon go away.
     pub(super) fn resend_loads(&mut self, now: MonoMs) {
         if now.since(self.loads_sent_at) < RESEND_INTERVAL_MS {
             return;
--- a/crates/core/src/core/on_poison.rs
+++ b/crates/core/src/core/on_poison.rs
@@ -19,8 +19,8 @@
 };
 
 impl Core {
-    /// Records that an attempt broke off. If its target has crashed, all requests in flight there become
-    /// suspects.
+    /// Records that an attempt's connection broke or fell silent. If its target turns out to have crashed, all
+    /// requests that are in flight there become suspects.
     pub(super) fn record_broken_attempt(&mut self, now: MonoMs, attempt: AttemptId) {
         let request = self.requests.of_attempt(attempt);
         let entry = request.and_then(|request| self.requests.get(request));
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Determines which targets crashed after attempts broke off, and sends the suspects to peers.
+    /// Determines which targets crashed after attempts broke, and sends the suspects to peers.
     pub(super) fn resolve_crashes(&mut self, now: MonoMs) {
         let targets = &self.targets;
         let news = self
@@ -135,8 +135,8 @@
         self.suspicion(now, request) != Suspicion::Clear
     }
 
-    /// Returns the targets that a request avoids if another exists: those where it was tried. If others
-    /// remain, also those where it would run beside a suspect or, as a suspect itself, beside any request.
+    /// Returns the targets that a request avoids if another exists: those where it was tried and, if that
+    /// leaves others, those where it would run beside a suspect or, as a suspect itself, beside any request.
     pub(super) fn avoided_targets(&self, now: MonoMs, request: RequestId) -> Vec<TargetName> {
         let Some(entry) = self.requests.get(request) else {
             return Vec::new();
--- a/crates/core/src/core/on_records.rs
+++ b/crates/core/src/core/on_records.rs
@@ -21,7 +21,7 @@
 const MAX_PUSH_BYTES: usize = 64 * 1_024;
 
 impl Core {
-    /// Begins a pull if the peer's records differ. Both sides do, so that both end with the same merged
+    /// Begins a pull if the peer's records differ. Both sides pull, so that both end with the same merged
     /// records.
     pub(super) fn compare_records(
         &mut self,
--- a/crates/core/src/core/on_submit.rs
+++ b/crates/core/src/core/on_submit.rs
@@ -68,14 +68,15 @@
         if !self.may_route(now, request) {
             return;
         }
-        let tried = self.avoided_targets(now, request);
+        let avoided = self.avoided_targets(now, request);
         let alone = self.must_run_alone(now, request);
         let Some(entry) = self.requests.get(request) else {
             return;
         };
         let policy = self.records.in_force().policy();
         let routing_request =
-            RoutingRequest::new(&entry.submission.work, &entry.route, &tried, policy).alone(alone);
+            RoutingRequest::new(&entry.submission.work, &entry.route, &avoided, policy)
+                .alone(alone);
         if routing_request.weight == Weight::Long {
             self.place_on_engines(now, request);
             return;
--- a/crates/core/src/core/on_tick.rs
+++ b/crates/core/src/core/on_tick.rs
@@ -6,7 +6,8 @@
     whinlatch_wire::caller::Reason,
 };
 
-/// Gap between events from which on the process is considered to have been paused, in ms.
+/// Gap between two events above which the process is considered to have been paused, in ms. Ticks come about
+/// every 50 ms.
 const PAUSE_THRESHOLD_MS: u64 = 2_000;
 /// Interval between evictions of expired state, in ms.
 const EVICTION_INTERVAL_MS: u64 = 1_000;
--- a/crates/core/src/core/on_ticket.rs
+++ b/crates/core/src/core/on_ticket.rs
@@ -17,7 +17,7 @@
     },
 };
 
-/// Delay after which an account that has too many tickets may ask for more, in ms. Unused tickets have
+/// Delay after which an account that has too many tickets may request more, in ms. Unused tickets have
 /// expired by then.
 const MORE_TICKETS_RETRY_MS: u64 = 120_000;
 /// Delay after which a caller may retry if the ticket's home isn't known here or gave no answer, in ms.
--- a/crates/core/src/core/reports.rs
+++ b/crates/core/src/core/reports.rs
@@ -18,8 +18,8 @@
 const MAX_ENTRIES: usize = 16;
 
 impl Core {
-    /// Returns the addresses that callers may use. Those of this failure domain come first; both parts are
-    /// shuffled so that callers spread. Excludes daemons that are leaving, suspected or dead according to
+    /// Returns the addresses that callers may use: first those of this failure domain, then others, each
+    /// part shuffled so that callers spread. Excludes daemons that are leaving, suspected or dead according to
     /// news or the list, and those to which a link should be open but isn't.
     pub fn entries(&self) -> Entries {
         let own = Entry {
@@ -42,7 +42,8 @@
         let (mut near, mut far): (Vec<Entry>, Vec<Entry>) = entries
             .into_iter()
             .partition(|entry| entry.failure_domain == self.options.failure_domain);
-        // Some are in other failure domains, in case this whole failure domain fails.
+        // At least half of the entries are open to other failure domains, so that callers can go on if this
+        // whole domain fails.
         far.truncate(MAX_ENTRIES.saturating_sub(near.len()).max(MAX_ENTRIES / 2));
         near.truncate(MAX_ENTRIES - far.len());
         near.extend(far);
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Returns the records and the instances where they are in force.
+    /// Returns the state of each record and the instances known to hold it.
     pub fn records_report(&self) -> RecordsReport {
         RecordsReport {
             instance: self.options.instance.clone(),
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -75,7 +75,7 @@
 pub enum ForwardEnd {
     /// The answer of the home was passed on to the caller completely.
     Answered,
-    /// The home could not be reached, or its answer broke off.
+    /// The home could not be reached, or the connection broke before its answer was complete.
     Lost,
 }
 
@@ -119,7 +119,7 @@
     pub work: Work,
 }
 
-/// Work that a request asks for.
+/// Work of a request.
 #[derive(Debug, Clone)]
 pub enum Work {
     /// A prompt for a model.
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,4 +1,6 @@
 //! Membership of the fleet, and the health and load of targets as seen by this daemon.
+//!
+//! An engine reads a prompt when it prefills it: `read_ms` is a prefill time everywhere in this crate.
 
 mod load_tracker;
 mod members;
--- a/crates/core/src/fleet/load_tracker.rs
+++ b/crates/core/src/fleet/load_tracker.rs
@@ -11,11 +11,11 @@
 /// Maximum age of a load report on arrival, in ms; reports carry no time of measurement. Prompts
 /// sent within this time before a report arrived may be missing from it, so they are added to it.
 const MAX_REPORT_LAG_MS: u64 = 500;
-/// Fraction of a prompt's predicted read time that still counts as remaining once its first token
+/// Fraction of a prompt's predicted prefill time that still counts as remaining once its first token
 /// is overdue.
 const MIN_REMAINING_FRACTION: f64 = 0.1;
-/// Longest prompt that may be sent after another, as a fraction of the other's read time, without
-/// spoiling the other as a sample of the target's read rate.
+/// Longest prompt that may be sent after another, as a fraction of the other's prefill time, without
+/// distorting the other as a sample of the target's prefill rate.
 const MAX_OVERLAP_FRACTION: f64 = 0.1;
 
 /// A prompt sent to a target that hasn't returned its first token yet.
@@ -39,7 +39,7 @@
     pub memory_tokens: u64,
     /// Weight class by prefill time, which decides how long it delays others.
     pub weight: Weight,
-    /// Whether its time to first token is a sample of the target's read rate: nothing ran before it
+    /// Whether its time to first token is a sample of the target's prefill rate: nothing ran before it
     /// and no prefix of it was cached.
     pub is_sample: bool,
 }
@@ -55,9 +55,9 @@
 /// A long prompt of this daemon that is queued for a target and not sent yet; it is announced to peers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueuedPrompt {
-    /// Identifies the queued prompt.
+    /// Id of the queued prompt, the same at all engines where it is queued.
     pub id: AttemptId,
-    /// Time at which the request was accepted; the longest waiting goes first.
+    /// Time by which it is ranked among queued prompts, earliest first: about when its request was accepted.
     pub since: MonoMs,
     /// Predicted prefill time, in ms.
     pub read_ms: f64,
@@ -117,7 +117,7 @@
         self.sent.push(prompt);
     }
 
-    /// Returns the read-rate sample of a prompt whose first token arrived; `None` if the attempt is
+    /// Returns the prefill sample of a prompt whose first token arrived; `None` if the attempt is
     /// unknown or other work distorted its time.
     pub fn sample(&self, now: MonoMs, attempt: AttemptId) -> Option<PrefillSample> {
         let prompt = self.sent.iter().find(|prompt| prompt.attempt == attempt)?;
@@ -137,7 +137,7 @@
         Some(self.sent.swap_remove(index))
     }
 
-    /// Applies a load report. `token_ms` is the target's time to read one token, in ms.
+    /// Applies a load report. `token_ms` is the target's prefill time per token, in ms.
     pub fn apply_report(&mut self, now: MonoMs, report: &LoadReport, token_ms: f64) {
         self.reported_at = now;
         self.reported_ms = report.prefill_tokens_left as f64 * token_ms;
@@ -176,7 +176,7 @@
         true
     }
 
-    /// Requests that the target was running according to its last report.
+    /// Returns the number of requests that the target was running according to its last report.
     pub fn running(&self) -> u32 {
         self.running
     }
--- a/crates/core/src/fleet/members.rs
+++ b/crates/core/src/fleet/members.rs
@@ -137,10 +137,10 @@
             }
             Entry::Occupied(mut occupied) => {
                 let member = occupied.get_mut();
-                let held = (member.news.version, member.news.state);
+                let known = (member.news.version, member.news.state);
                 let is_dead = member.news.state == MemberState::Dead;
                 if is_dead
-                    || (news.state != MemberState::Dead && (news.version, news.state) <= held)
+                    || (news.state != MemberState::Dead && (news.version, news.state) <= known)
                 {
                     return MergeResult::Unchanged;
                 }
@@ -202,6 +202,8 @@
     /// Returns a stamp for this daemon and for each one that is considered alive and showed a
     /// recent sign of life.
     pub fn stamps(&self, now: MonoMs) -> Vec<MemberStamp> {
+        /// This daemon's beat counts seconds of its own clock, so that it rises from stamp to stamp; peers
+        /// compare it only with earlier beats of the same run.
         const BEAT_UNIT_MS: u64 = 1_000;
         let own = stamp(&self.own, now.0 / BEAT_UNIT_MS);
         let others = self
--- a/crates/core/src/fleet/members/local_health.rs
+++ b/crates/core/src/fleet/members/local_health.rs
@@ -7,9 +7,9 @@
 /// Time without a further pause after which the penalty falls by one, in ms.
 const PENALTY_DECAY_MS: u64 = 30_000;
 
-/// Local health of this daemon, after Lifeguard: a process that was paused received nothing and
-/// would otherwise suspect all others. Each pause adds to a penalty that lengthens the silence
-/// timeouts.
+/// Local health of this daemon, as in Lifeguard, the extension of the SWIM membership protocol: a
+/// process that was paused received nothing and would otherwise suspect all others. Each pause adds
+/// to a penalty that lengthens the silence timeouts.
 #[derive(Debug, Default)]
 pub(super) struct LocalHealth {
     penalty: u64,
--- a/crates/core/src/fleet/targets.rs
+++ b/crates/core/src/fleet/targets.rs
@@ -11,7 +11,7 @@
 };
 
 /// Consecutive report requests without an answer after which a target gets no new requests.
-const MISSED_REPORTS_UNTIL_GONE: u32 = 3;
+const MAX_MISSED_REPORTS: u32 = 3;
 
 /// The targets that records name, sorted by name and addressed by index.
 #[derive(Debug)]
@@ -111,17 +111,17 @@
         is_leaving
     }
 
-    /// Counts a report request without an answer. Returns whether the target is now considered
-    /// gone.
+    /// Counts a report request without an answer. Returns whether the target gets no new requests from
+    /// now on, until it reports again.
     pub fn record_missed_report(&mut self, target: &TargetName) -> bool {
         let Some(state) = self.get_mut(target) else {
             return false;
         };
         state.missed_reports += 1;
-        if state.missed_reports < MISSED_REPORTS_UNTIL_GONE {
+        if state.missed_reports < MAX_MISSED_REPORTS {
             return false;
         }
-        // The run is cleared instead of marked dead: it may answer again after a partition.
+        // The run is cleared instead of marked `Gone`: it may answer again after a partition.
         state.incarnation.take().is_some()
     }
 
@@ -137,14 +137,18 @@
     }
 
     /// Returns the targets whose next report is due, with their addresses, and records the request.
-    /// `every_ms` is the time between two requests.
-    pub fn due_for_report(&mut self, now: MonoMs, every_ms: u64) -> Vec<(TargetName, SocketAddr)> {
+    /// `interval_ms` is the time between two requests.
+    pub fn due_for_report(
+        &mut self,
+        now: MonoMs,
+        interval_ms: u64,
+    ) -> Vec<(TargetName, SocketAddr)> {
         self.states
             .iter_mut()
             .filter(|(_, state)| {
                 state
                     .report_requested_at
-                    .is_none_or(|requested_at| now.since(requested_at) >= every_ms)
+                    .is_none_or(|requested_at| now.since(requested_at) >= interval_ms)
             })
             .map(|(name, state)| {
                 state.report_requested_at = Some(now);
@@ -158,7 +162,7 @@
         self.index_of(target).map(|index| self.at(index))
     }
 
-    /// Returns a target by name, to record prompts sent and ended.
+    /// Returns a target by name, to change its state; `None` if no record names it.
     pub fn get_mut(&mut self, target: &TargetName) -> Option<&mut TargetState> {
         let index = self.index_of(target)?;
         Some(&mut self.states[index].1)
--- a/crates/core/src/fleet/watchers.rs
+++ b/crates/core/src/fleet/watchers.rs
@@ -9,7 +9,7 @@
 /// Watchers in a larger failure domain: two, so that one may fail.
 const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// Election of the daemons that watch the platform: those whose incarnations hash highest in their
+/// Election of the daemons that watch the platform: those whose incarnations hash lowest in their
 /// failure domain.
 ///
 /// Each daemon computes it from its own membership view. While views differ there may be too many
--- a/crates/core/src/orders/ranking.rs
+++ b/crates/core/src/orders/ranking.rs
@@ -21,7 +21,7 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// Rendezvous weight of a member for `key`; the highest ranks first.
+/// Returns the rendezvous weight of a member for `key`; the highest ranks first.
 fn weight(member: Incarnation, key: &str) -> u64 {
     let low = member.0 as u64;
     let high = (member.0 >> 64) as u64;
--- a/crates/core/src/peers/link.rs
+++ b/crates/core/src/peers/link.rs
@@ -9,8 +9,9 @@
     pub address: SocketAddr,
     /// Time of the last frame from the peer.
     pub last_received_at: MonoMs,
-    pub beats_sent: u64,
-    pub next_beat_at: MonoMs,
+    /// Number of the last heartbeat sent.
+    pub heartbeats_sent: u64,
+    pub next_heartbeat_at: MonoMs,
     pub news: NewsQueue,
     /// The peer's summary of its records, from its last heartbeat.
     pub summary: RecordSummary,
@@ -25,8 +26,8 @@
         Self {
             address,
             last_received_at: now,
-            beats_sent: 0,
-            next_beat_at: now,
+            heartbeats_sent: 0,
+            next_heartbeat_at: now,
             news: NewsQueue::default(),
             summary: RecordSummary::default(),
             buckets: Vec::new(),
--- a/crates/core/src/peers/links.rs
+++ b/crates/core/src/peers/links.rs
@@ -185,17 +185,17 @@
     ) -> Vec<(Incarnation, PeerFrame)> {
         self.open
             .iter_mut()
-            .filter(|(_, link)| link.next_beat_at <= now || link.news.is_urgent())
+            .filter(|(_, link)| link.next_heartbeat_at <= now || link.news.is_urgent())
             .map(|(peer, link)| {
                 let mut frame = PeerFrame {
                     news: link.news.take(),
                     ..PeerFrame::default()
                 };
-                if link.next_beat_at <= now {
-                    link.beats_sent += 1;
-                    link.next_beat_at = now + HEARTBEAT_INTERVAL_MS;
+                if link.next_heartbeat_at <= now {
+                    link.heartbeats_sent += 1;
+                    link.next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
                     frame.heartbeat = Some(Heartbeat {
-                        number: link.beats_sent,
+                        number: link.heartbeats_sent,
                         records: records.clone(),
                     });
                 }
--- a/crates/core/src/peers/news_queue.rs
+++ b/crates/core/src/peers/news_queue.rs
@@ -28,31 +28,31 @@
     /// Queues news; a newer update replaces an older one about the same subject.
     pub fn put(&mut self, news: &News) {
         for item in &news.members {
-            put(&mut self.members, item.incarnation, item, |held| {
-                (held.version, held.state) < (item.version, item.state)
+            put(&mut self.members, item.incarnation, item, |queued| {
+                (queued.version, queued.state) < (item.version, item.state)
             });
         }
         for item in &news.targets {
             let subject = (item.target.clone(), item.incarnation);
-            put(&mut self.targets, subject, item, |held| {
-                held.health < item.health
+            put(&mut self.targets, subject, item, |queued| {
+                queued.health < item.health
             });
         }
         for item in &news.loads {
             let subject = (item.origin, item.target.clone());
-            put(&mut self.loads, subject, item, |held| {
-                held.number < item.number
+            put(&mut self.loads, subject, item, |queued| {
+                queued.number < item.number
             });
         }
         for item in &news.accounts {
             let subject = (item.origin, item.account.clone());
-            put(&mut self.accounts, subject, item, |held| {
-                held.number < item.number
+            put(&mut self.accounts, subject, item, |queued| {
+                queued.number < item.number
             });
         }
         for item in &news.poison {
-            put(&mut self.poison, item.fingerprint, item, |held| {
-                held.deaths.len() <= item.deaths.len()
+            put(&mut self.poison, item.fingerprint, item, |queued| {
+                queued.deaths.len() <= item.deaths.len()
             });
         }
     }
--- a/crates/core/src/placement/choose_group.rs
+++ b/crates/core/src/placement/choose_group.rs
@@ -1,7 +1,7 @@
 use {
     crate::{
         fleet::TargetState,
-        routing::{Candidate, RoutingContext, RoutingRequest, tokens_of},
+        routing::{AVOIDED_PENALTY_MS, Candidate, RoutingContext, RoutingRequest, tokens_of},
         time::MonoMs,
     },
     thiserror::Error,
@@ -16,9 +16,9 @@
 /// A long prompt is sent once the work queued before it at its engines is below this, in ms. If it
 /// were sent earlier, it would hold memory while it waits.
 const START_THRESHOLD_MS: f64 = 300.0;
-/// Added to an engine's time if it appears to lack memory for its part, in ms.
+/// Penalty on an engine that appears to lack memory for its part, in ms.
 const NO_MEMORY_PENALTY_MS: f64 = 2_000.0;
-/// Maximum random time added to an engine's time, in ms, so that daemons that choose at the same time
+/// Maximum random time added to an engine's predicted time, in ms, so that daemons that choose at the same time
 /// don't all choose the same idle engines.
 const JITTER_MS: f64 = 50.0;
 
@@ -44,7 +44,7 @@
     pub starts_now: bool,
     /// Predicted time until the last of the engines is free, in ms.
     pub wait_ms: f64,
-    /// Predicted time to read the prompt, in ms.
+    /// Predicted prefill time of the prompt, in ms.
     pub read_ms: f64,
 }
 
@@ -54,7 +54,7 @@
     /// Time by which it is ranked among the waiting prompts, earliest first.
     pub since: MonoMs,
     /// Id under which it is queued at the engines.
-    pub claim: AttemptId,
+    pub queue_id: AttemptId,
 }
 
 /// An engine that may join a group, with its memory and predicted times.
@@ -145,23 +145,23 @@
     let state = context.targets.at(candidate.index);
     let target = context.targets.name_at(candidate.index);
     let left = state.load.remaining(context.now);
-    let claimed_ms = state
+    let queued_ahead_ms = state
         .load
-        .queued_ahead_ms(context.now, waiting.since, waiting.claim);
-    let queued_ms = left.long_ms + claimed_ms;
+        .queued_ahead_ms(context.now, waiting.since, waiting.queue_id);
+    let queued_ms = left.long_ms + queued_ahead_ms;
     let read_ms = state.cost.read_ms(0, request.prompt_tokens(), 1);
-    // While it helps another engine, an engine reads at half its speed until one of the two is done.
+    // While it helps another engine, an engine prefills at half its speed until one of the two is done.
     let helping_ms = left.helping_ms.min(read_ms);
     let others_ms = left.light_ms + left.medium_ms + rng.f64() * JITTER_MS;
-    let tried = !request.tried.is_empty() && request.tried.contains(target);
-    let tried_ms = if tried { 1e9 } else { 0.0 };
+    let avoided = !request.avoided.is_empty() && request.avoided.contains(target);
+    let avoided_ms = if avoided { AVOIDED_PENALTY_MS } else { 0.0 };
     Engine {
         target,
         state,
         memory_tokens: candidate.memory_tokens,
         free_tokens: state.load.free_tokens(),
         queued_ms,
-        cost_ms: queued_ms + helping_ms + others_ms + tried_ms,
+        cost_ms: queued_ms + helping_ms + others_ms + avoided_ms,
     }
 }
 
--- a/crates/core/src/placement/group.rs
+++ b/crates/core/src/placement/group.rs
@@ -46,7 +46,7 @@
         requested_at: MonoMs,
     },
     /// All parts are reserved.
-    Held {
+    Reserved {
         /// Time of the next renewal.
         renew_at: MonoMs,
     },
@@ -60,11 +60,11 @@
 #[derive(Debug, Clone)]
 pub struct Group {
     /// Id under which the prompt is queued at engines while it waits.
-    pub claim: AttemptId,
-    /// Index in the route's list of the provider that was drawn for the prompt.
+    pub queue_id: AttemptId,
+    /// Index in the route's list of the provider assigned to the prompt.
     pub provider: usize,
     /// Engines at which the prompt is queued.
-    pub claimed: Vec<TargetName>,
+    pub queued_targets: Vec<TargetName>,
     /// Parts in the order in which they are reserved; empty while the group is waiting.
     pub parts: Vec<Part>,
     /// Memory that each engine reserves, in tokens.
@@ -72,29 +72,29 @@
     /// Progress of the reservations.
     pub state: GroupState,
     /// Number of failed attempts to reserve; each one doubles the back-off.
-    pub tries: u32,
+    pub failed_attempts: u32,
 }
 
 impl Group {
     /// Creates a group without reservations that is due immediately and not queued anywhere.
-    pub fn new(now: MonoMs, claim: AttemptId, provider: usize) -> Self {
+    pub fn new(now: MonoMs, queue_id: AttemptId, provider: usize) -> Self {
         Self {
-            claim,
+            queue_id,
             provider,
-            claimed: Vec::new(),
+            queued_targets: Vec::new(),
             parts: Vec::new(),
             part_tokens: 0,
             state: GroupState::Waiting { retry_at: now },
-            tries: 0,
+            failed_attempts: 0,
         }
     }
 
-    /// Parts that are or may be reserved, including the one whose engine hasn't answered.
-    pub fn held(&self) -> &[Part] {
+    /// Returns the parts that are or may be reserved, including the one whose engine hasn't answered.
+    pub fn parts_to_release(&self) -> &[Part] {
         match self.state {
             GroupState::Waiting { .. } => &[],
             GroupState::Acquiring { next, .. } => &self.parts[..=next],
-            GroupState::Held { .. } => &self.parts,
+            GroupState::Reserved { .. } => &self.parts,
         }
     }
 
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Part whose engine hasn't answered yet; `None` unless the group is acquiring.
+    /// Returns the part whose engine hasn't answered yet; `None` unless the group is acquiring.
     pub fn pending_part(&self) -> Option<&Part> {
         match self.state {
             GroupState::Acquiring { next, .. } => self.parts.get(next),
@@ -135,12 +135,13 @@
 
     /// Marks all parts as reserved and schedules the next renewal.
     pub fn mark_reserved(&mut self, now: MonoMs) {
-        self.state = GroupState::Held {
+        self.state = GroupState::Reserved {
             renew_at: now + RENEW_INTERVAL_MS,
         };
     }
 
-    /// Parts other than the leader's, as listed in the dispatch to `leader`, which runs the prompt.
+    /// Returns the parts other than the leader's, as listed in the dispatch to `leader`, the engine that runs
+    /// the prompt.
     pub fn members(&self, leader: &TargetName) -> Vec<GroupMember> {
         self.parts
             .iter()
@@ -152,13 +153,13 @@
             .collect()
     }
 
-    /// Engines of the group other than `leader`.
+    /// Returns the engines of the group other than `leader`.
     pub fn helpers(&self, leader: &TargetName) -> Vec<TargetName> {
         let others = self.parts.iter().filter(|part| part.target != *leader);
         others.map(|part| part.target.clone()).collect()
     }
 
-    /// Id of the reservation at a target; `None` if the target isn't part of the group.
+    /// Returns the id of the reservation at a target; `None` if the target isn't part of the group.
     pub fn reservation_at(&self, target: &TargetName) -> Option<AttemptId> {
         let part = self.parts.iter().find(|part| part.target == *target)?;
         Some(part.reservation)
--- a/crates/core/src/placement/groups.rs
+++ b/crates/core/src/placement/groups.rs
@@ -5,11 +5,11 @@
     whinlatch_wire::ids::{AttemptId, RequestId},
 };
 
-/// Action that is due for the group of a request.
+/// Step that is due for the group of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DueGroup {
     /// Choose and reserve engines again.
-    Try(RequestId),
+    Retry(RequestId),
     /// Release the group: an engine didn't answer in time.
     Unanswered(RequestId),
     /// Renew its reservations.
@@ -24,7 +24,7 @@
 }
 
 impl Groups {
-    /// Returns the group of a request.
+    /// Returns the group of a request; `None` if it has none, or none any more.
     pub fn get(&self, request: RequestId) -> Option<&Group> {
         self.by_request.get(&request)
     }
@@ -48,7 +48,7 @@
     }
 
     /// Removes a group. The caller must release its reserved parts.
-    #[must_use = "its parts are held until they are released"]
+    #[must_use = "its parts stay reserved until they are released"]
     pub fn remove(&mut self, request: RequestId) -> Option<Group> {
         let group = self.by_request.remove(&request)?;
         for part in &group.parts {
@@ -57,20 +57,22 @@
         Some(group)
     }
 
-    /// Returns the actions that are due, ordered by request id.
+    /// Returns the steps that are due, ordered by request id.
     pub fn due(&self, now: MonoMs) -> Vec<DueGroup> {
         self.by_request
             .iter()
             .filter_map(|(request, group)| match group.state {
                 GroupState::Waiting { retry_at } if retry_at <= now => {
-                    Some(DueGroup::Try(*request))
+                    Some(DueGroup::Retry(*request))
                 }
                 GroupState::Acquiring { requested_at, .. }
                     if now.since(requested_at) > RESERVE_TIMEOUT_MS =>
                 {
                     Some(DueGroup::Unanswered(*request))
                 }
-                GroupState::Held { renew_at } if renew_at <= now => Some(DueGroup::Renew(*request)),
+                GroupState::Reserved { renew_at } if renew_at <= now => {
+                    Some(DueGroup::Renew(*request))
+                }
                 _ => None,
             })
             .collect()
--- a/crates/core/src/records/in_force.rs
+++ b/crates/core/src/records/in_force.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns the account of a name.
+    /// Returns the account of this name; `None` if no record in force declares it.
     pub fn account(&self, account: &AccountName) -> Option<&AccountRecord> {
         self.accounts.get(account)
     }
@@ -89,7 +89,7 @@
         self.accounts.values()
     }
 
-    /// Returns the target of a name.
+    /// Returns the target of this name; `None` if no record in force declares it.
     pub fn target(&self, target: &TargetName) -> Option<&TargetRecord> {
         self.targets.get(target)
     }
@@ -115,7 +115,7 @@
     }
 
     /// Returns the most specific route for a model: routes that name the caller come first, then
-    /// those that name the account, then those for all.
+    /// those that name the account, then those for all. Among equals the highest key wins.
     pub fn model_route(
         &self,
         model: &ModelName,
--- a/crates/core/src/records/platform_reader.rs
+++ b/crates/core/src/records/platform_reader.rs
@@ -6,7 +6,7 @@
 
 /// Time for which a watch of the records waits for changes, in ms.
 const WATCH_WAIT_MS: u64 = 20_000;
-/// Time between reads of the list by a watcher, in ms.
+/// Time between reads of the list of instances by a watcher, in ms.
 const LIST_INTERVAL_MS: u64 = 1_000;
 /// Mean time between reads by a daemon that isn't a watcher, in ms; drawn from half to one and a
 /// half of it.
@@ -151,7 +151,7 @@
     fn records_read(&mut self, now: MonoMs) -> PlatformRead {
         let may_start = self
             .full_read_started_at
-            .is_none_or(|began| now.since(began) >= MIN_FULL_READ_INTERVAL_MS);
+            .is_none_or(|started_at| now.since(started_at) >= MIN_FULL_READ_INTERVAL_MS);
         if may_start && let Some(reason) = self.pending_full_read.take() {
             self.full_read_started_at = Some(now);
             self.full_read = Some(FullRead::new(reason));
--- a/crates/core/src/requests/crashed_targets.rs
+++ b/crates/core/src/requests/crashed_targets.rs
@@ -5,20 +5,21 @@
     whinlatch_wire::ids::{Incarnation, TargetName},
 };
 
-/// A report that arrives this long after an attempt broke off proves that the target is alive, in ms.
+/// A report that arrives at least this long after an attempt broke proves that the target is alive, in ms.
 /// An earlier report may have been written before the target died.
 const REPORT_LAG_MS: u64 = 500;
 /// Time after which a target whose status is still unknown is taken as alive, in ms.
 const RESOLVE_TIMEOUT_MS: u64 = 5_000;
 
-/// Runs of targets where attempts broke off, kept until it is known whether the target died.
+/// Runs of targets that may have crashed, since attempts broke there. Each is kept until it is known whether
+/// it died.
 #[derive(Debug, Default)]
 pub(super) struct CrashedTargets {
     pending: Vec<SuspectedCrash>,
 }
 
-/// A run of a target, and the fingerprints of the requests that were in flight there when the first
-/// attempt broke off.
+/// A run of a target, and the fingerprints of the requests that were in flight there when the
+/// attempts broke.
 #[derive(Debug)]
 pub(super) struct SuspectedCrash {
     pub(super) target: TargetName,
@@ -29,7 +30,7 @@
 }
 
 impl SuspectedCrash {
-    /// Whether exactly one request was running at the target.
+    /// Returns whether exactly one request was running at the target.
     pub(super) fn was_alone(&self) -> bool {
         self.in_flight.len() == 1 && !self.has_other_work
     }
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Removes the entries whose status is known or timed out, and returns the dead ones.
+    /// Removes the runs whose status is known or timed out, and returns the dead ones.
     pub(super) fn resolve(
         &mut self,
         now: MonoMs,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Number of pending crashes with the request in flight, and of those where it was alone.
+    /// Returns the number of pending crashes with the request in flight, and of those where it was alone.
     pub(super) fn count(&self, fingerprint: u64) -> (usize, usize) {
         let all = self
             .pending
--- a/crates/core/src/requests/issued_keys.rs
+++ b/crates/core/src/requests/issued_keys.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Idempotency keys for which this daemon issued tickets, kept until the process ends.
+/// Idempotency keys for which this daemon issued tickets. A key under whose ticket a request may have run is
+/// kept until the process ends.
 ///
 /// Guards against a second run long after the first: if a key were evicted together with its ticket, a
 /// caller that retries would get a new ticket and the request would run again. Keys therefore outlive
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Hash of a key, seeded with its account.
+    /// Returns the hash of a key, seeded with its account.
     pub(super) fn hash_of(&self, account: &AccountName, key: &str) -> u64 {
         let seed = xxh3_64_with_seed(account.as_str().as_bytes(), self.secret);
         xxh3_64_with_seed(key.as_bytes(), seed)
--- a/crates/core/src/requests/poison_tracker.rs
+++ b/crates/core/src/requests/poison_tracker.rs
@@ -73,8 +73,8 @@
 }
 
 impl PoisonTracker {
-    /// Records that an attempt broke off at a run of a target. `in_flight` are the fingerprints of this
-    /// daemon's requests there; `has_other_work` is whether other daemons had work there.
+    /// Records that an attempt broke at a run of a target. `in_flight` are the fingerprints of this daemon's
+    /// requests there; `has_other_work` is whether other daemons had work there.
     pub fn record_broken_attempt(
         &mut self,
         now: MonoMs,
@@ -87,8 +87,8 @@
             .record(now, target, incarnation, in_flight, has_other_work);
     }
 
-    /// Resolves targets where attempts broke off: records a crash for each one that died. Returns the
-    /// news to send to peers.
+    /// Checks the targets where attempts broke and records a crash for each one that died. Returns the news to
+    /// send to peers.
     pub fn resolve_crashes(
         &mut self,
         now: MonoMs,
@@ -229,7 +229,7 @@
         runs.map(|(run, _)| *run).collect()
     }
 
-    /// Number of crashes that weren't cleared, and of those with the request alone at the target.
+    /// Returns the number of crashes that weren't cleared, and of those with the request alone at the target.
     fn count(&self) -> (usize, usize) {
         let all = self
             .crashes
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -26,7 +26,8 @@
     /// Targets of the attempts so far, in order.
     pub tried: Vec<TargetName>,
     pub(super) phase: Phase,
-    pub(super) ran_before: bool,
+    /// Whether a target may have run an attempt that has ended.
+    pub(super) may_have_run_before: bool,
     pub(super) caller_gone: bool,
 }
 
@@ -54,7 +55,7 @@
     pub target: TargetName,
     /// Run of the target that the attempt was sent to.
     pub incarnation: Incarnation,
-    /// Other engines of its group, which read parts of the prompt; empty for a single engine.
+    /// Other engines of its group, which prefill parts of the prompt; empty for a single engine.
     pub helpers: Vec<TargetName>,
     /// Whether the first chunk of the answer has arrived.
     pub first_chunk: bool,
@@ -70,18 +71,18 @@
             route,
             tried: Vec::new(),
             phase: Phase::Queued,
-            ran_before: false,
+            may_have_run_before: false,
             caller_gone: false,
             submission,
         }
     }
 
-    /// Current state of the request.
+    /// Returns the current state of the request.
     pub fn phase(&self) -> &Phase {
         &self.phase
     }
 
-    /// The attempt in flight, if any.
+    /// Returns the attempt in flight, if any.
     pub fn in_flight_attempt(&self) -> Option<&InFlightAttempt> {
         match &self.phase {
             Phase::InFlight(in_flight) => Some(in_flight),
@@ -95,7 +96,7 @@
     /// same ticket, ran it isn't known here, so `Forwarded` and `Attached` count as run.
     pub fn may_have_run(&self) -> bool {
         match self.phase {
-            Phase::Queued | Phase::Held => self.ran_before,
+            Phase::Queued | Phase::Held => self.may_have_run_before,
             Phase::InFlight(_) | Phase::Attached | Phase::Forwarded => true,
         }
     }
@@ -104,7 +105,7 @@
     /// isn't idempotent, on every code path that dispatches.
     pub fn may_dispatch(&self) -> bool {
         match self.phase {
-            Phase::Queued | Phase::Held => self.idempotent || !self.ran_before,
+            Phase::Queued | Phase::Held => self.idempotent || !self.may_have_run_before,
             Phase::InFlight(_) | Phase::Attached | Phase::Forwarded => false,
         }
     }
@@ -123,7 +124,7 @@
         let Phase::InFlight(in_flight) = std::mem::replace(&mut self.phase, Phase::Queued) else {
             return None;
         };
-        self.ran_before |= end == AttemptEnd::MayHaveRun;
+        self.may_have_run_before |= end == AttemptEnd::MayHaveRun;
         Some(in_flight)
     }
 }
--- a/crates/core/src/requests/request_table.rs
+++ b/crates/core/src/requests/request_table.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Held requests, ordered by id.
+    /// Returns the held requests, ordered by id.
     pub fn held(&self) -> Vec<RequestId> {
         self.held.iter().copied().collect()
     }
@@ -110,7 +110,7 @@
         Some(entry)
     }
 
-    /// Requests whose deadline has passed, earliest first.
+    /// Returns the requests whose deadline has passed, earliest first.
     pub fn past_deadline(&self, now: MonoMs) -> Vec<RequestId> {
         self.by_deadline
             .iter()
@@ -119,19 +119,19 @@
             .collect()
     }
 
-    /// Earliest deadline of all requests; `None` if there are none.
+    /// Returns the earliest deadline of all requests; `None` if there are none.
     pub fn next_deadline(&self) -> Option<MonoMs> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Requests with an attempt in flight.
+    /// Returns the requests with an attempt in flight, in no particular order.
     pub fn in_flight(&self) -> impl Iterator<Item = &Request> {
         self.by_attempt
             .values()
             .filter_map(|request| self.by_id.get(request))
     }
 
-    /// Requests with an attempt in flight at a target.
+    /// Returns the requests with an attempt in flight at a target, in no particular order.
     pub fn at_target(&self, target: &TargetName) -> impl Iterator<Item = &Request> {
         self.in_flight().filter(move |entry| {
             entry
@@ -140,7 +140,7 @@
         })
     }
 
-    /// Number of requests, in all phases.
+    /// Returns the number of requests, in all phases.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
--- a/crates/core/src/requests/resume_refresh.rs
+++ b/crates/core/src/requests/resume_refresh.rs
@@ -14,7 +14,8 @@
 /// Guards against a process that its host paused and that resumes with stale state: it would send work
 /// to targets that have left in the meantime. The pause shows as a gap between events. No queued
 /// request is dispatched until each target has answered a read sent after the process resumed, and a
-/// peer has sent a message; targets that haven't answered by then are considered gone.
+/// peer has sent a message; targets that haven't answered by then get no requests until
+/// they report again.
 #[derive(Debug, Clone, Copy)]
 pub struct ResumeRefresh {
     since: MonoMs,
@@ -26,7 +27,7 @@
         Self { since: now }
     }
 
-    /// Time when the process resumed.
+    /// Returns the time when the process resumed.
     pub fn since(self) -> MonoMs {
         self.since
     }
@@ -37,7 +38,7 @@
         (answered && self.has_peer_contact(members)) || now.since(self.since) >= REFRESH_TIMEOUT_MS
     }
 
-    /// Targets that haven't reported since the process resumed.
+    /// Returns the targets that haven't reported since the process resumed.
     pub fn silent_targets(self, targets: &Targets) -> Vec<TargetName> {
         targets
             .iter()
@@ -46,7 +47,7 @@
             .collect()
     }
 
-    /// Whether the target has answered, or failed to answer, a read sent since the process resumed.
+    /// Returns whether the target has answered, or failed to answer, a read sent since the process resumed.
     fn has_answered(self, state: &TargetState) -> bool {
         let is_requested = state
             .report_requested_at
@@ -54,7 +55,7 @@
         is_requested && (state.reported_at >= self.since || state.missed_reports > 0)
     }
 
-    /// Whether a linked peer has sent a message since the process resumed, or none is linked.
+    /// Returns whether a linked peer has sent a message since the process resumed, or none is linked.
     fn has_peer_contact(self, members: &Members) -> bool {
         let mut linked = members.iter().filter(|member| member.linked).peekable();
         linked.peek().is_none() || linked.any(|member| member.last_seen_at >= self.since)
--- a/crates/core/src/requests/retry_budget.rs
+++ b/crates/core/src/requests/retry_budget.rs
@@ -50,13 +50,13 @@
     /// Takes a retry out of the budget of `per_mille` of the first attempts. Returns `false`, and takes
     /// nothing, if the account's budget or the common one is spent.
     pub fn try_take(&mut self, now: MonoMs, account: &AccountName, per_mille: u32) -> bool {
-        let own = self.accounts.entry(account.clone()).or_default();
-        if !own.allows(now, per_mille, MIN_ACCOUNT_RETRIES)
+        let account_window = self.accounts.entry(account.clone()).or_default();
+        if !account_window.allows(now, per_mille, MIN_ACCOUNT_RETRIES)
             || !self.all.allows(now, per_mille, MIN_TOTAL_RETRIES)
         {
             return false;
         }
-        own.slot(now).retries += 1;
+        account_window.slot(now).retries += 1;
         self.all.slot(now).retries += 1;
         true
     }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -6,6 +6,7 @@
 mod routing_request;
 mod short_prompt_reserve;
 
+pub(crate) use router::AVOIDED_PENALTY_MS;
 pub use {
     candidates::{Candidate, Candidates, serves, tokens_of},
     provider_rotation::ProviderRotation,
--- a/crates/core/src/routing/candidates.rs
+++ b/crates/core/src/routing/candidates.rs
@@ -15,7 +15,7 @@
     pub index: usize,
     /// Memory of the engine in tokens; `u64::MAX` for plain services.
     pub memory_tokens: u64,
-    rank: u64,
+    name_hash: u64,
 }
 
 /// A model or service at one provider, in one version if the route states one.
@@ -86,11 +86,11 @@
             Some(Candidate {
                 index: targets.index_of(&record.target)?,
                 memory_tokens: memory_of(record).unwrap_or(u64::MAX),
-                rank: xxh3_64(record.target.as_str().as_bytes()),
+                name_hash: xxh3_64(record.target.as_str().as_bytes()),
             })
         })
         .collect();
-    list.sort_by_key(|candidate| candidate.rank);
+    list.sort_by_key(|candidate| candidate.name_hash);
     list.into()
 }
 
--- a/crates/core/src/routing/router.rs
+++ b/crates/core/src/routing/router.rs
@@ -25,8 +25,8 @@
 /// Targets whose predicted times differ from the best by at most this count as equal, in ms.
 const TIE_MARGIN_MS: f64 = 5.0;
 
-/// Penalty that ranks a target that was already tried behind all others, in ms.
-const TRIED_PENALTY_MS: f64 = 1e9;
+/// Penalty that ranks a target that the request avoids behind all others, in ms.
+pub(crate) const AVOIDED_PENALTY_MS: f64 = 1e9;
 /// Penalty that ranks a busy target behind idle ones for a request that may crash it, in ms.
 const SHARED_PENALTY_MS: f64 = 1e8;
 
@@ -37,7 +37,7 @@
     pub target: TargetName,
     /// Predicted time until the target starts on the prompt, in ms.
     pub wait_ms: f64,
-    /// Predicted time to read the prompt, in ms.
+    /// Predicted prefill time of the prompt, in ms.
     pub read_ms: f64,
 }
 
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Chooses the engines of a long prompt. Prefers `provider`, the one drawn for the prompt, and takes
+    /// Chooses the engines of a long prompt. Prefers `provider`, the one assigned to the prompt, and takes
     /// another if it lacks engines.
     ///
     /// # Errors
@@ -117,7 +117,7 @@
         provider: usize,
         rng: &mut fastrand::Rng,
     ) -> Result<ChosenGroup, GroupError> {
-        let mut verdict = Err(GroupError::TooLong);
+        let mut error = GroupError::TooLong;
         for (_, share) in in_order(&request.route.providers, provider) {
             let list = self
                 .candidates
@@ -138,13 +138,13 @@
             // live or not, can't hold it.
             let memory: u64 = list.iter().map(|candidate| candidate.memory_tokens).sum();
             if memory >= tokens_of(request.work) {
-                verdict = Err(GroupError::NoneLive);
+                error = GroupError::NoneLive;
             }
         }
-        verdict
+        Err(error)
     }
 
-    /// Number of a provider's usable targets that are reserved for light and medium prompts.
+    /// Returns the number of a provider's usable targets that are reserved for light and medium prompts.
     fn reserved_count(
         &self,
         context: &RoutingContext<'_>,
@@ -157,9 +157,9 @@
             .targets(policy, usable, context.daemons, fraction)
     }
 
-    /// Draws the provider of a long prompt and charges the prompt to it immediately, since its engines
-    /// are chosen later. Returns its index in the route's list.
-    pub fn draw_provider(
+    /// Assigns a long prompt to the next provider and charges the prompt to it immediately, since its engines
+    /// are chosen later. Returns the provider's index in the route's list.
+    pub fn assign_provider(
         &mut self,
         request: &RoutingRequest<'_>,
         rng: &mut fastrand::Rng,
@@ -177,7 +177,7 @@
     }
 
     /// Fills [`Self::scores`] with the targets that can take the work now, and returns their number.
-    /// Targets that were tried score worst. Sets `too_long` if the prompt exceeds a target's memory.
+    /// Targets that the request avoids score worst. Sets `too_long` if the prompt exceeds a target's memory.
     fn score_usable(
         &mut self,
         context: &RoutingContext<'_>,
@@ -197,9 +197,9 @@
                 continue;
             }
             let name = || context.targets.name_at(candidate.index);
-            let tried = !request.tried.is_empty() && request.tried.contains(name());
+            let avoided = !request.avoided.is_empty() && request.avoided.contains(name());
             let shared = request.alone && state.in_flight > 0;
-            let penalty = penalty_ms(tried, shared);
+            let penalty = penalty_ms(avoided, shared);
             let score = wait_ms(context.now, state, request) + read_ms(state, request) + penalty;
             self.scores.push((candidate.index, score));
         }
@@ -219,16 +219,16 @@
     }
 }
 
-/// Penalty of a target independent of its load: because it was tried, or because a request that may
-/// crash it would fail the other requests there too.
-fn penalty_ms(tried: bool, shared: bool) -> f64 {
-    let for_tried = if tried { TRIED_PENALTY_MS } else { 0.0 };
+/// Returns the penalty of a target apart from its load: because the request avoids it, or because a request
+/// that may crash it would take the other requests there down too.
+fn penalty_ms(avoided: bool, shared: bool) -> f64 {
+    let for_avoided = if avoided { AVOIDED_PENALTY_MS } else { 0.0 };
     let for_shared = if shared { SHARED_PENALTY_MS } else { 0.0 };
-    for_tried + for_shared
+    for_avoided + for_shared
 }
 
-/// Returns the choice of a target with its predicted times, for a prompt that `engines` engines read
-/// together.
+/// Returns the choice of a target with its predicted times, for a prompt that `engines` engines
+/// prefill together.
 pub fn predict_choice(
     now: MonoMs,
     state: &TargetState,
@@ -243,7 +243,7 @@
     }
 }
 
-/// Predicted time until a target starts on a prompt, in ms. The prompt waits for those that are at
+/// Returns the predicted time until a target starts on a prompt, in ms. The prompt waits for those that are at
 /// least as urgent, and for the current step of a less urgent one. If the target lacks memory for it,
 /// it waits for all prompts.
 fn wait_ms(now: MonoMs, state: &TargetState, request: &RoutingRequest<'_>) -> f64 {
@@ -272,7 +272,8 @@
     running_ms + before_ms + step_ms
 }
 
-/// Extra wait that a light or medium prompt accepts before it goes to a target for long prompts, in ms.
+/// Returns the extra wait that a light or medium prompt accepts before it goes to a target for long prompts,
+/// in ms.
 fn spill_ms(context: &RoutingContext<'_>, request: &RoutingRequest<'_>) -> f64 {
     let policy = context.in_force.policy();
     let weights = policy.long_first_token_weight + policy.short_slowdown_weight;
--- a/crates/core/src/routing/routing_request.rs
+++ b/crates/core/src/routing/routing_request.rs
@@ -69,9 +69,9 @@
     pub work: &'a Work,
     /// Route that allows the request; its providers share the requests.
     pub route: &'a RouteRecord,
-    /// Targets that were tried already or are to be avoided for another reason. None of them is chosen
-    /// if another target exists.
-    pub tried: &'a [TargetName],
+    /// Targets that were tried already or must be avoided for another reason. None of them is chosen if
+    /// another target exists.
+    pub avoided: &'a [TargetName],
     /// Whether the request is suspected of crashing targets: a target with nothing in flight is
     /// preferred.
     pub alone: bool,
@@ -86,13 +86,13 @@
     pub fn new(
         work: &'a Work,
         route: &'a RouteRecord,
-        tried: &'a [TargetName],
+        avoided: &'a [TargetName],
         policy: &PolicyRecord,
     ) -> Self {
         Self {
             work,
             route,
-            tried,
+            avoided,
             alone: false,
             weight: Weight::of(prompt_tokens(work), policy),
             priorities: Priorities::of(policy),
@@ -105,7 +105,7 @@
         Self { alone, ..self }
     }
 
-    /// Length of the prompt in tokens; 0 for calls.
+    /// Returns the length of the prompt in tokens; 0 for calls.
     pub fn prompt_tokens(&self) -> u64 {
         prompt_tokens(self.work)
     }
--- a/crates/core/src/routing/short_prompt_reserve.rs
+++ b/crates/core/src/routing/short_prompt_reserve.rs
@@ -5,7 +5,7 @@
 /// Time in which a past peak decays by about two thirds, in ms. Longer than the time between two
 /// bursts, so that capacity for a burst is available when it begins.
 const PEAK_DECAY_MS: f64 = 600_000.0;
-/// Ratio of the engine time of a prompt and its answer to the time to read the prompt.
+/// Ratio of the engine time of a prompt and its answer to the prompt's prefill time.
 const ANSWER_FACTOR: f64 = 1.2;
 /// Maximum average utilization of the reserved targets if the policy only weighs the first token of
 /// long prompts.
@@ -22,12 +22,14 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ShortPromptReserve {
     updated_at: MonoMs,
+    /// Moving average of the engines that this daemon's light and medium prompts keep busy.
     rate: f64,
+    /// Highest average so far, decayed since.
     peak: f64,
 }
 
 impl ShortPromptReserve {
-    /// Records a light or medium prompt sent by this daemon that takes `read_ms` to read.
+    /// Records a light or medium prompt sent by this daemon with a prefill time of `read_ms`.
     pub fn record(&mut self, now: MonoMs, read_ms: f64) {
         let passed_ms = now.since(self.updated_at) as f64;
         self.updated_at = now;
--- a/crates/core/tests/invariants_world/mod.rs
+++ b/crates/core/tests/invariants_world/mod.rs
@@ -84,7 +84,7 @@
     /// Requests that a target answered completely.
     completed: BTreeSet<RequestId>,
     attempts: BTreeMap<AttemptId, RequestId>,
-    /// Requests whose callers were told that they didn't run.
+    /// Requests whose callers received `not_run`.
     reported_not_run: BTreeSet<RequestId>,
     /// Source of incarnations and request ids.
     last_id: u128,
--- a/crates/core/tests/invariants_world/target.rs
+++ b/crates/core/tests/invariants_world/target.rs
@@ -1,4 +1,4 @@
-//! A simulated target that frees memory only when it is told to.
+//! A simulated target. It frees the memory of an attempt only when the attempt ends or is cancelled.
 
 use {
     crate::requests_fixture::report,
--- a/crates/core/tests/peers_suite/members_view.rs
+++ b/crates/core/tests/peers_suite/members_view.rs
@@ -260,7 +260,7 @@
     assert!(all_see(&fleet, 3, Some(MemberState::Alive)));
 }
 
-// A daemon is told to stop. Callers that ask others for entry addresses must not be sent to it.
+// A daemon is stopped. Callers that get entry addresses from others must not be sent to it.
 #[test]
 fn a_leaving_daemon_is_no_longer_named() {
     let mut fleet = started_fleet(9, 5);
--- a/crates/core/tests/poison_fleet.rs
+++ b/crates/core/tests/poison_fleet.rs
@@ -226,8 +226,8 @@
     assert_ne!(sent, there);
 }
 
-/// Guards against a suspect being sent back to the engine that broke off, because all other engines are
-/// busy and it wouldn't run alone there.
+/// Guards against a suspect being sent back to the engine where its attempt broke, because all other
+/// engines are busy and it wouldn't run alone there.
 #[test]
 fn a_suspect_is_not_sent_back_to_an_engine_that_was_tried() {
     let mut bench = bench();
--- a/crates/core/tests/requests_truth.rs
+++ b/crates/core/tests/requests_truth.rs
@@ -11,7 +11,7 @@
     },
 };
 
-/// Guards against `not_run` for a prompt that an engine has run: the first engine breaks off during the
+/// Guards against `not_run` for a prompt that an engine has run: the first engine's connection breaks during the
 /// answer, and the next ones refuse because they are full. The last refusal must not decide the outcome.
 #[test]
 fn a_refusal_does_not_hide_an_earlier_attempt_that_may_have_run() {
