--- a/crates/core/tests/invariants_world/step.rs
+++ b/crates/core/tests/invariants_world/step.rs
@@ -44,12 +44,12 @@
     Freeze {
         daemon: usize,
     },
-    /// Freezes a daemon that has handled an answer, before it carries out the actions.
+    /// Pauses a daemon that has handled an answer, before it carries out the actions.
     FreezeAmid {
         daemon: usize,
         which: usize,
     },
-    /// Resumes a frozen daemon.
+    /// Resumes a paused daemon.
     Wake {
         daemon: usize,
     },
--- a/crates/core/tests/peers_suite/records_exchange.rs
+++ b/crates/core/tests/peers_suite/records_exchange.rs
@@ -126,8 +126,8 @@
     assert!(bytes < 100_000, "{bytes} bytes");
 }
 
-// A daemon starts empty beside one that holds 40 records of a megabyte each. All of them in one
-// frame exceed the limit, so that the link broke each time and the daemon never got any.
+// Guards against a daemon that never gets any records: it starts empty beside one that holds 40 records
+// of a megabyte each. All of them in one frame exceed the limit, and the link breaks each time.
 #[test]
 fn large_records_travel_in_frames_under_the_limit() {
     let mut fleet = two_without_platform();
--- a/crates/core/tests/peers_suite/records_in_force.rs
+++ b/crates/core/tests/peers_suite/records_in_force.rs
@@ -23,8 +23,8 @@
     Some(target.address.port())
 }
 
-// Operators move a target to a new key by publishing the new record and deleting the old one. The
-// target vanished from the fleet, since deleting one of two records that declare it removed both.
+// Guards against a target that vanishes when operators move it to a new key: they publish the new record
+// and delete the old one, and deleting one of two records that declare the target removes both.
 #[test]
 fn a_record_takes_effect_when_the_other_one_of_its_name_is_deleted() {
     let old = envelope("targets/a", 1, Some(&target("labels-1", 7001)));
@@ -38,7 +38,7 @@
     assert_eq!(port(&one, "labels-1"), Some(7002));
 }
 
-// A record changes to declare another target. The former name must be released.
+// A record changes to declare another target. The former target must no longer be in force.
 #[test]
 fn a_record_that_changes_its_name_releases_the_former() {
     let before = envelope("targets/a", 1, Some(&target("labels-1", 7001)));
@@ -50,9 +50,9 @@
     assert_eq!(port(&held, "labels-2"), Some(7001));
 }
 
-// The newest revision is invalid and arrives first; the valid one before it arrives later, from a
-// slower peer. Daemons that got them in the other order had the valid one in force, this one had
-// nothing.
+// Guards against a record that is in force on some daemons only: the newest revision is invalid and
+// arrives first, and the valid one before it arrives later, from a slower peer. Daemons that get them in
+// the other order have the valid one in force, this one has nothing.
 #[test]
 fn the_newest_valid_revision_is_in_force_even_when_it_comes_after_an_invalid_one() {
     let valid = envelope("targets/a", 1, Some(&target("labels-1", 7001)));
@@ -97,7 +97,7 @@
     prop::collection::vec(one, 1..24)
 }
 
-/// Everything observable of a store, as text.
+/// Returns everything observable of a store, as text.
 fn observable_state(store: &RecordStore) -> String {
     let in_force = store.in_force();
     let targets: Vec<_> = in_force.targets().collect();
--- a/crates/core/tests/peers_suite/records_late_start.rs
+++ b/crates/core/tests/peers_suite/records_late_start.rs
@@ -37,8 +37,8 @@
     (fleet, late)
 }
 
-// An invalid revision is published, then the platform goes down and a daemon starts. It got only
-// the invalid revision from its peers and had nothing in force, while its peers served on.
+// An invalid revision is published, then the platform goes down and a daemon starts. Guards against it
+// getting only the invalid revision from its peers: it would have nothing in force while they serve on.
 #[test]
 fn a_late_starter_gets_the_former_revision_where_the_newest_is_invalid() {
     let (fleet, late) = late_starter_with_newest("{ broken");
--- a/crates/core/tests/requests_drain.rs
+++ b/crates/core/tests/requests_drain.rs
@@ -1,4 +1,4 @@
-//! A daemon that is asked to stop: requests in dispatch finish, and no new request is lost.
+//! A daemon that is stopped: requests in flight finish, and no new request is lost.
 
 mod requests_fixture;
 
--- a/crates/core/tests/requests_fixture/mod.rs
+++ b/crates/core/tests/requests_fixture/mod.rs
@@ -178,7 +178,7 @@
         finished(&actions)[0].outcome
     }
 
-    /// Submits a label call under a new ticket. Its attempt is in dispatch.
+    /// Submits a label call under a new ticket. Its attempt is in flight.
     pub fn label_in_flight(&mut self) -> (Ticket, RequestId, Dispatch) {
         let ticket = self.ticket();
         let label = self.label(Some(ticket));
@@ -307,7 +307,7 @@
     )
 }
 
-/// Record of an engine that is to serve model `m` in these versions.
+/// Builds the record of an engine that is to serve model `m` in these versions.
 pub fn engine(name: &str, versions: &[u32]) -> String {
     let models: Vec<String> = versions
         .iter()
@@ -336,7 +336,7 @@
     )
 }
 
-/// Incarnation of the first run of a target.
+/// Returns the incarnation of the first run of a target.
 pub fn run_of(target: &str) -> Incarnation {
     Incarnation(0x1000 + target.bytes().map(u128::from).sum::<u128>())
 }
@@ -378,7 +378,7 @@
     replayed.collect()
 }
 
-/// Calls to targets that aren't attempts, each with the target's name.
+/// Returns the calls to targets that aren't attempts, each with the target's name.
 pub fn calls(actions: &[Action]) -> Vec<(String, TargetCall)> {
     let calls = actions.iter().filter_map(|action| match action {
         Action::Call { target, call, .. } => Some((target.as_str().to_owned(), call.clone())),
@@ -387,7 +387,7 @@
     calls.collect()
 }
 
-/// News in the frames sent to peers.
+/// Returns the news in the frames sent to peers.
 pub fn sent_news(actions: &[Action]) -> Vec<News> {
     let news = actions.iter().filter_map(|action| match action {
         Action::Send { frame, .. } => Some(frame.news.clone()),
--- a/crates/core/tests/requests_holdings.rs
+++ b/crates/core/tests/requests_holdings.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Lets `ms` pass while `e1` keeps reporting `load`. Returns the calls that free [`LEAKED`].
+/// Advances the clock by `ms` while `e1` keeps reporting `load`. Returns the calls that free [`LEAKED`].
 fn freed(bench: &mut Bench, ms: u64, load: &LoadReport) -> Vec<TargetCall> {
     let mut all = Vec::new();
     for _ in 0..ms / 250 {
