--- a/crates/core/src/core/on_load.rs
+++ b/crates/core/src/core/on_load.rs
@@ -165,7 +165,7 @@
         let state = self.targets.get(target)?;
         let medium_ms = state.load.own_remaining_ms(now, Weight::Medium);
         let long_ms = state.load.own_remaining_ms(now, Weight::Long);
-        let (claimed_ms, since) = state.load.own_queued();
+        let (queued_ms, oldest_since) = state.load.own_queued();
         Some(TargetLoad {
             origin: self.options.incarnation,
             number: self.last_load_number,
@@ -174,8 +174,8 @@
             prefill_left_ms: (medium_ms + long_ms) as u64,
             long_left_ms: long_ms as u64,
             helping_ms: state.load.own_helping_ms(now) as u64,
-            claimed_ms: claimed_ms as u64,
-            claim_age_ms: since.map_or(0, |since| now.since(since)),
+            claimed_ms: queued_ms as u64,
+            claim_age_ms: oldest_since.map_or(0, |since| now.since(since)),
         })
     }
 
--- a/crates/core/src/decisions/decision.rs
+++ b/crates/core/src/decisions/decision.rs
@@ -9,7 +9,7 @@
     Fleet,
     /// Links between daemons.
     Peers,
-    /// Limits and deadlines.
+    /// Authorization of requests by account, key, caller and route.
     Admission,
     /// Choice of a single target.
     Routing,
--- a/crates/core/src/fleet/load_tracker.rs
+++ b/crates/core/src/fleet/load_tracker.rs
@@ -164,10 +164,13 @@
             queued_ms: load.claimed_ms,
             oldest_queued_since: MonoMs(now.0.saturating_sub(load.claim_age_ms)),
         };
-        self.peers.retain(|work| {
-            now.since(work.received_at) <= PEER_LOAD_TTL_MS || work.long_ends_at > now
+        self.peers.retain(|peer| {
+            now.since(peer.received_at) <= PEER_LOAD_TTL_MS || peer.long_ends_at > now
         });
-        let previous = self.peers.iter_mut().find(|w| w.origin == load.origin);
+        let previous = self
+            .peers
+            .iter_mut()
+            .find(|peer| peer.origin == load.origin);
         match previous {
             Some(previous) if previous.number >= update.number => return false,
             Some(previous) => *previous = update,
@@ -221,10 +224,10 @@
         let peers = self
             .peers
             .iter()
-            .filter(|work| {
-                work.oldest_queued_since < since && now.since(work.received_at) <= PEER_QUEUE_TTL_MS
+            .filter(|peer| {
+                peer.oldest_queued_since < since && now.since(peer.received_at) <= PEER_QUEUE_TTL_MS
             })
-            .map(|work| work.queued_ms as f64);
+            .map(|peer| peer.queued_ms as f64);
         own.sum::<f64>() + peers.sum::<f64>()
     }
 
@@ -233,8 +236,8 @@
         let peers = self
             .peers
             .iter()
-            .filter(|w| now.since(w.received_at) <= PEER_QUEUE_TTL_MS);
-        self.own_queued().0 + peers.map(|work| work.queued_ms as f64).sum::<f64>()
+            .filter(|peer| now.since(peer.received_at) <= PEER_QUEUE_TTL_MS);
+        self.own_queued().0 + peers.map(|peer| peer.queued_ms as f64).sum::<f64>()
     }
 
     /// Returns the free memory, in tokens, less what prompts sent since the last report take.
@@ -264,16 +267,16 @@
     /// Returns the remaining work of all daemons.
     pub fn remaining(&self, now: MonoMs) -> RemainingWork {
         let peers = self.peers.iter();
-        let (medium, long) = peers.fold((0, 0), |(medium, long), work| {
-            let medium = medium + work.medium_ends_at.since(now);
-            (medium, long + work.long_ends_at.since(now))
+        let (medium, long) = peers.fold((0, 0), |(medium, long), peer| {
+            let medium = medium + peer.medium_ends_at.since(now);
+            (medium, long + peer.long_ends_at.since(now))
         });
         let medium_ms = self.own_remaining_ms(now, Weight::Medium) + medium as f64;
         let long_ms = self.own_remaining_ms(now, Weight::Long) + long as f64;
         let helping = self
             .peers
             .iter()
-            .map(|work| work.helping_ends_at.since(now));
+            .map(|peer| peer.helping_ends_at.since(now));
         let helping_ms = self
             .own_helping_ms(now)
             .max(helping.max().unwrap_or(0) as f64);
--- a/crates/core/src/fleet/members/local_health.rs
+++ b/crates/core/src/fleet/members/local_health.rs
@@ -1,6 +1,7 @@
 use crate::time::MonoMs;
 
-/// Minimum gap between two ticks that shows that this process was paused, in ms.
+/// Gap between two ticks above which this process is considered to have been paused, in ms. The core
+/// applies the same to any two events, for its view of the targets.
 const PAUSE_THRESHOLD_MS: u64 = 2_000;
 /// Maximum penalty; silence timeouts grow by at most this many times their base.
 const MAX_PENALTY: u64 = 4;
--- a/crates/core/src/placement/groups.rs
+++ b/crates/core/src/placement/groups.rs
@@ -24,7 +24,7 @@
 }
 
 impl Groups {
-    /// Returns the group of a request; `None` if it has none, or none any more.
+    /// Returns the group of a request; `None` if it has none.
     pub fn get(&self, request: RequestId) -> Option<&Group> {
         self.by_request.get(&request)
     }
--- a/crates/core/src/requests/crashed_targets.rs
+++ b/crates/core/src/requests/crashed_targets.rs
@@ -7,7 +7,7 @@
 
 /// A report that arrives at least this long after an attempt broke proves that the target is alive, in ms.
 /// An earlier report may have been written before the target died.
-const REPORT_LAG_MS: u64 = 500;
+const MAX_REPORT_LAG_MS: u64 = 500;
 /// Time after which a target whose status is still unknown is taken as alive, in ms.
 const RESOLVE_TIMEOUT_MS: u64 = 5_000;
 
@@ -75,7 +75,7 @@
         for crash in self.pending.drain(..) {
             match status(&crash.target, crash.incarnation) {
                 RunStatus::Dead => dead.push(crash),
-                RunStatus::Alive(at) if at.since(crash.since) >= REPORT_LAG_MS => {}
+                RunStatus::Alive(at) if at.since(crash.since) >= MAX_REPORT_LAG_MS => {}
                 RunStatus::Alive(_) | RunStatus::Unknown
                     if now.since(crash.since) > RESOLVE_TIMEOUT_MS => {}
                 RunStatus::Alive(_) | RunStatus::Unknown => pending.push(crash),
