--- a/crates/bench/src/policy/faults.rs
+++ b/crates/bench/src/policy/faults.rs
@@ -1,47 +1,47 @@
 use serde::Deserialize;
 
-/// Faults of a run, as a file states them. A missing field means that the fault doesn't happen.
+/// Faults to inject in a run, read from a file. A fault whose field is missing doesn't happen.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// Age of load reports, in ms.
     pub report_lag_ms: u64,
-    /// Part of the cache events that get lost.
+    /// Fraction of the cache events that are lost.
     pub lost_cache_events: f64,
-    /// A target, the next each time, dies this often, in s.
+    /// Interval at which a target crashes, each time the next one, in s; absent for no crashes.
     pub death_every_s: Option<u64>,
-    /// Time until a dead target is back as a new run, in s.
+    /// Time from a crash until the target restarts as a new incarnation, in s.
     pub restart_s: u64,
-    /// Targets that are slow, by number.
+    /// Indexes of slow targets.
     pub slow_targets: Vec<usize>,
-    /// How many times slower they are.
+    /// Factor by which slow targets are slower.
     pub slow_factor: f64,
-    /// When each target of the list begins to leave, by number and s.
+    /// Targets that start to leave during the run.
     pub leaving: Vec<Leaving>,
 }
 
-/// A target that begins to leave.
+/// A target that starts to leave.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leaving {
-    /// Number of the target.
+    /// Index of the target.
     pub target: usize,
-    /// When, in s.
+    /// Time from the start of the simulation, in s.
     pub at_s: u64,
 }
 
-/// Age of load reports where nothing is said, in ms.
-const USUAL_LAG_MS: u64 = 300;
-/// Time until a dead target is back where nothing is said, in s.
-const USUAL_RESTART_S: u64 = 20;
+/// Age of load reports unless the file sets it, in ms.
+const DEFAULT_REPORT_LAG_MS: u64 = 300;
+/// Restart time unless the file sets it, in s.
+const DEFAULT_RESTART_S: u64 = 20;
 
 impl Default for Faults {
     fn default() -> Self {
         Self {
-            report_lag_ms: USUAL_LAG_MS,
+            report_lag_ms: DEFAULT_REPORT_LAG_MS,
             lost_cache_events: 0.0,
             death_every_s: None,
-            restart_s: USUAL_RESTART_S,
+            restart_s: DEFAULT_RESTART_S,
             slow_targets: Vec::new(),
             slow_factor: 1.0,
             leaving: Vec::new(),
--- a/crates/bench/src/policy/plot.rs
+++ b/crates/bench/src/policy/plot.rs
@@ -12,10 +12,10 @@
     RGBColor(130, 130, 130),
 ];
 
-/// Draws the p99 of TTFT over idle of each band and policy as bars.
+/// Draws a bar for each band and policy: the p99 TTFT relative to an idle fleet, on a log scale.
 ///
 /// # Errors
-/// Whatever the plotting crate says, such as that the file can't be written.
+/// An error of the plotting library, for example if the file can't be written.
 pub fn draw(report: &Report, path: &Path) -> Result<(), Box<dyn Error>> {
     let Some(first) = report.policies.first() else {
         return Ok(());
@@ -36,7 +36,7 @@
         .x_label_area_size(36)
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..bands as f64, (0.5..highest * 1.5).log_scale())?;
-    let name = |x: &f64| {
+    let band_name = |x: &f64| {
         first
             .bands
             .get(x.floor() as usize)
@@ -46,7 +46,7 @@
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(bands)
-        .x_label_formatter(&name)
+        .x_label_formatter(&band_name)
         .draw()?;
     let width = 0.8 / policies as f64;
     for (index, figures) in report.policies.iter().enumerate() {
--- a/crates/bench/src/policy/setup.rs
+++ b/crates/bench/src/policy/setup.rs
@@ -3,57 +3,58 @@
     whinlatch_wire::caller::Outcome,
 };
 
-/// What decides at each daemon.
+/// The decision logic that each daemon runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The core.
+    /// The core of whinlatch.
     Whinlatch,
-    /// A rule that balancers commonly follow.
-    Common(Rule),
+    /// A common load-balancing rule.
+    Baseline(Rule),
 }
 
-/// One run.
+/// Parameters of one simulation run.
 #[derive(Debug)]
 pub struct Setup<'a> {
-    /// The requests.
+    /// Mix from which requests are drawn.
     pub mix: &'a Mix,
-    /// The mix whose work makes up the load; it may hold more bands.
-    pub rate_of: &'a Mix,
-    /// Decides at each daemon.
+    /// Mix whose mean work sets the request rate; it may have bands that `mix` lacks.
+    pub load_mix: &'a Mix,
+    /// Decision logic of all daemons.
     pub policy: Policy,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Targets.
+    /// Number of targets.
     pub targets: usize,
-    /// Work that arrives over work that all engines can do.
+    /// Offered work as a fraction of the capacity of all engines.
     pub load: f64,
-    /// Seed of all chance.
+    /// Seed of all random generators.
     pub seed: u64,
-    /// Faults.
+    /// Faults to inject.
     pub faults: &'a Faults,
 }
 
-/// What became of a request.
+/// A request and its course through the simulation.
 #[derive(Debug)]
-pub struct Trial {
+pub struct RequestTrace {
     /// The request.
     pub arrival: Arrival,
-    /// When its first token came last, in us; a broken answer begins again.
-    pub first_us: Option<u64>,
-    /// When and how it ended.
+    /// Time of the first token of the latest attempt that had one, in µs; a broken answer is generated
+    /// again from its start.
+    pub first_token_us: Option<u64>,
+    /// Time of its end, in µs, and its outcome; absent while it is open.
     pub end: Option<(u64, Outcome)>,
-    /// Target of its first attempt.
+    /// Target of its first attempt; absent if none was dispatched.
     pub first_target: Option<usize>,
-    /// Attempts.
+    /// Number of attempts dispatched.
     pub attempts: u32,
 }
 
-impl Trial {
-    /// A request that hasn't arrived yet.
+impl RequestTrace {
+    /// Creates the trace of a request that hasn't arrived yet.
     pub fn new(arrival: Arrival) -> Self {
         Self {
             arrival,
-            first_us: None,
+            first_token_us: None,
             end: None,
             first_target: None,
             attempts: 0,
