--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,7 +1,8 @@
-//! Control at size: what each peer, target, record, change and open stream costs.
+//! Measures how the cost of the control plane grows with the number of peers, targets, records, changes
+//! and open streams.
 //!
-//! The measurements drive the real core through direct calls and encode every frame with the real
-//! codec. Time is virtual and there is no model of a network: a message arrives one round later.
+//! The measurements call the production core directly and encode every frame with the production codec.
+//! Time is virtual. The network isn't modelled: a message arrives one round after it was sent.
 
 mod args;
 mod clock;
--- a/crates/bench/src/capacity/args.rs
+++ b/crates/bench/src/capacity/args.rs
@@ -1,26 +1,26 @@
 use {
-    super::measure::Part,
+    super::measure::Measurement,
     bpaf::{Parser, construct, long},
     std::path::PathBuf,
 };
 
-/// Options of the measurement.
+/// Options of the `capacity` command.
 #[derive(Debug)]
 pub struct CapacityArgs {
-    /// Print JSON.
+    /// Whether to print JSON instead of text.
     pub json: bool,
-    /// Measure only what is the same in each run: bytes, frames, reads and rounds.
+    /// Whether to measure only what is the same in each run: bytes, frames, reads and rounds.
     pub exact: bool,
-    /// Measure only this part.
-    pub only: Option<Part>,
-    /// Folder for a picture of each slope.
+    /// The only measurement to run; all if absent.
+    pub only: Option<Measurement>,
+    /// Directory for a chart of each slope; none is drawn if absent.
     pub plot: Option<PathBuf>,
 }
 
-const ONLY_HELP: &str = "Measure one part: memory, peers, targets, records, changes, \
+const ONLY_HELP: &str = "Run one measurement: memory, peers, targets, records, changes, \
     faults, streams, requests, start, apart or repair";
 
-/// Reads the options.
+/// Returns the parser of the command's options.
 pub fn capacity_args() -> impl Parser<CapacityArgs> {
     let json = long("json").help("Print JSON").switch();
     let exact = long("exact")
@@ -28,10 +28,10 @@
         .switch();
     let only = long("only")
         .help(ONLY_HELP)
-        .argument::<Part>("PART")
+        .argument::<Measurement>("PART")
         .optional();
     let plot = long("plot")
-        .help("Write a picture of each slope into this folder")
+        .help("Write a chart of each slope into this directory")
         .argument::<PathBuf>("DIR")
         .optional();
     construct!(CapacityArgs {
--- a/crates/bench/src/capacity/fit.rs
+++ b/crates/bench/src/capacity/fit.rs
@@ -1,31 +1,31 @@
-//! Least squares: the slope of a straight line through measured points, and its error.
+//! Linear regression by least squares with the standard error of the slope.
 
 use serde::Serialize;
 
-/// One measured point.
+/// A measured point.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Point {
-    /// The size that was varied.
+    /// The varied size.
     pub x: f64,
-    /// What was measured.
+    /// The measured cost.
     pub y: f64,
 }
 
-/// A straight line through points.
+/// A line fitted to points.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// Growth of y for one more of x.
+    /// Change of y per unit of x.
     pub slope: f64,
     /// Standard error of the slope.
     pub slope_error: f64,
     /// y at x = 0.
     pub intercept: f64,
-    /// Share of the variance of y that the line explains; 1 is a perfect line.
+    /// Fraction of the variance of y that the line explains; 1 is a perfect fit.
     pub r2: f64,
 }
 
 impl Fit {
-    /// Fits a line; at least three points that differ in x are needed for an error other than 0.
+    /// Fits a line through points. The error of the slope needs at least three points with different x.
     pub fn through(points: &[Point]) -> Self {
         let n = points.len() as f64;
         let mean_x = points.iter().map(|p| p.x).sum::<f64>() / n;
@@ -39,11 +39,11 @@
             .iter()
             .map(|p| (p.y - intercept - slope * p.x).powi(2))
             .sum();
-        let free = (n - 2.0).max(1.0);
+        let degrees_of_freedom = (n - 2.0).max(1.0);
         Self {
             slope,
             slope_error: if sxx > 0.0 {
-                (residual / free / sxx).sqrt()
+                (residual / degrees_of_freedom / sxx).sqrt()
             } else {
                 0.0
             },
@@ -52,7 +52,7 @@
         }
     }
 
-    /// y of the line at `x`.
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
--- a/crates/bench/src/capacity/fleet.rs
+++ b/crates/bench/src/capacity/fleet.rs
@@ -1,4 +1,5 @@
-//! Cores that are driven by direct calls: each message arrives one round after it was sent.
+//! A simulated fleet: cores driven by direct calls, where each message arrives one round after it was
+//! sent.
 
 mod counters;
 mod daemon;
@@ -17,6 +18,6 @@
         Published, PublishedSize, account_key, account_key_sha256, account_value, envelope,
         target_name,
     },
-    reads::cut_pages,
+    reads::encode_pages,
     target_calls::report_of,
 };
--- a/crates/bench/src/capacity/fleet/counters.rs
+++ b/crates/bench/src/capacity/fleet/counters.rs
@@ -1,44 +1,44 @@
 use serde::Serialize;
 
-/// What one daemon sent, read and computed.
+/// Traffic, reads and CPU time of one daemon.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Peer frames sent.
     pub frames_out: u64,
-    /// Bytes of peer frames sent, websocket heads included.
+    /// Bytes of peer frames sent, including websocket headers.
     pub peer_bytes_out: u64,
-    /// Bytes of peer frames received, websocket heads included.
+    /// Bytes of peer frames received, including websocket headers.
     pub peer_bytes_in: u64,
-    /// Frames that the codec refused because they were too large.
+    /// Frames that the codec rejected as too large.
     pub frames_too_large: u64,
-    /// Calls to targets that aren't attempts.
+    /// Calls to targets, not counting attempts.
     pub target_calls: u64,
-    /// Bytes of those calls, heads included.
+    /// Bytes of those calls, including HTTP headers.
     pub target_bytes_out: u64,
-    /// Bytes of their answers, heads included.
+    /// Bytes of their responses, including HTTP headers.
     pub target_bytes_in: u64,
     /// Reads of records from the platform.
     pub record_reads: u64,
-    /// Reads of the list of instances.
+    /// Reads of the instance list.
     pub list_reads: u64,
-    /// Reads that the platform refused because its budget was used up.
+    /// Reads that the platform refused because they exceeded its rate limit.
     pub refused_reads: u64,
-    /// Bytes that the platform answered.
+    /// Bytes received from the platform.
     pub platform_bytes_in: u64,
-    /// Links opened.
+    /// Links opened, by either side.
     pub links_opened: u64,
-    /// Decisions for the log.
+    /// Decisions logged.
     pub decisions: u64,
-    /// Bytes of their text.
+    /// Bytes of the logged decisions.
     pub decision_bytes: u64,
-    /// Processor time in the core, in ns.
+    /// CPU time of the core, in ns.
     pub core_ns: u64,
-    /// Processor time in the codecs, in ns.
+    /// CPU time of the codecs, in ns.
     pub codec_ns: u64,
 }
 
 impl Counters {
-    /// Adds what another counted.
+    /// Adds the counts of another daemon or period.
     pub fn add(&mut self, other: &Self) {
         self.frames_out += other.frames_out;
         self.peer_bytes_out += other.peer_bytes_out;
@@ -58,12 +58,12 @@
         self.codec_ns += other.codec_ns;
     }
 
-    /// Reads of the platform, of both kinds.
+    /// Returns the reads of records and of the instance list.
     pub fn reads(&self) -> u64 {
         self.record_reads + self.list_reads
     }
 
-    /// Processor time in core and codecs, in ns.
+    /// Returns the CPU time of core and codecs, in ns.
     pub fn cpu_ns(&self) -> u64 {
         self.core_ns + self.codec_ns
     }
--- a/crates/bench/src/capacity/fleet/daemon.rs
+++ b/crates/bench/src/capacity/fleet/daemon.rs
@@ -11,30 +11,32 @@
     },
 };
 
-/// Daemons that a new one is told of in its settings.
+/// Seed peers in the settings of each daemon.
 const SEED_PEERS: usize = 3;
 
-/// A core and what stands around it.
+/// A core with the state of its simulated daemon.
 #[derive(Debug)]
 pub(super) struct Daemon {
     pub(super) core: Core,
     pub(super) hello: Hello,
     pub(super) region: usize,
     pub(super) alive: bool,
+    /// Whether the daemon reaches the platform.
     pub(super) reads_platform: bool,
+    /// The read of records that currently waits; absent if there is none.
     pub(super) watch: Option<Watch>,
     pub(super) counters: Counters,
 }
 
-/// A read of records that waits for news.
+/// A read of records that waits for a newer revision.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Watch {
     pub(super) after: Revision,
-    pub(super) expires: MonoMs,
+    pub(super) expires_at: MonoMs,
 }
 
 impl Daemon {
-    /// A daemon that starts now.
+    /// Creates a daemon that starts at `now`. `run` distinguishes the runs of one instance.
     pub(super) fn new(now: MonoMs, number: usize, run: u64) -> Self {
         Self {
             core: core_of(now, number, run),
@@ -48,7 +50,7 @@
     }
 }
 
-/// A core that starts now. `run` differs for each run on one instance.
+/// Creates a core that starts at `now`. `run` distinguishes the runs of one instance.
 pub fn core_of(now: MonoMs, number: usize, run: u64) -> Core {
     let options = CoreOptions {
         instance: instance_of(number),
@@ -62,7 +64,7 @@
     Core::new(now, options)
 }
 
-/// What a daemon says of itself when a link opens.
+/// Returns the hello that a daemon sends when a link opens.
 pub fn hello_of(number: usize, run: u64) -> Hello {
     let incarnation = incarnation_of(number, run);
     Hello {
--- a/crates/bench/src/capacity/fleet/reads.rs
+++ b/crates/bench/src/capacity/fleet/reads.rs
@@ -1,4 +1,4 @@
-//! The platform's service: pages of records, the list, and a budget of reads.
+//! The simulated platform: pages of records, the instance list, and a limit on reads per second.
 
 use {
     super::Published,
@@ -11,21 +11,24 @@
     whinlatch_wire::{ids::Revision, platform::RecordPage},
 };
 
-/// ms in a second.
-const SECOND_MS: u64 = 1_000;
+/// Milliseconds per second.
+const MS_PER_S: u64 = 1_000;
 
-/// The platform as its readers see it.
+/// The platform, with its answers cached until the published data changes.
 #[derive(Debug)]
 pub(super) struct Platform {
     pub(super) published: Published,
     page_bytes: usize,
+    /// Encoded pages by the revision that they start after.
     pages: HashMap<Revision, Arc<Vec<u8>>>,
+    /// The encoded instance list; absent until it is read.
     list: Option<Arc<Vec<u8>>>,
+    /// Reads in each second of virtual time.
     reads: BTreeMap<u64, u64>,
 }
 
 impl Platform {
-    /// A platform whose pages hold at most `page_bytes` of values.
+    /// Creates a platform whose pages hold at most `page_bytes` of values, or one larger value.
     pub(super) fn new(published: Published, page_bytes: usize) -> Self {
         Self {
             published,
@@ -36,41 +39,41 @@
         }
     }
 
-    /// Changes what is published.
+    /// Changes the published data.
     pub(super) fn publish(&mut self, change: impl FnOnce(&mut Published)) {
         change(&mut self.published);
         self.pages.clear();
         self.list = None;
     }
 
-    /// Counts a read. Returns whether the budget of this second allows it.
+    /// Counts a read. Returns whether it is within this second's limit.
     pub(super) fn admits(&mut self, now: MonoMs) -> bool {
-        let reads = self.reads.entry(now.0 / SECOND_MS).or_default();
+        let reads = self.reads.entry(now.0 / MS_PER_S).or_default();
         *reads += 1;
         *reads <= PLATFORM_READS_PER_S
     }
 
-    /// Most reads in a second, the refused ones included.
-    pub(super) fn busiest_second(&self) -> u64 {
+    /// Returns the maximum reads in a second, including refused ones.
+    pub(super) fn max_reads_per_s(&self) -> u64 {
         self.reads.values().copied().max().unwrap_or(0)
     }
 
-    /// Forgets the reads so far.
-    pub(super) fn forget_reads(&mut self) {
+    /// Resets the count of reads.
+    pub(super) fn clear_reads(&mut self) {
         self.reads.clear();
     }
 
-    /// The page after a revision, as JSON.
+    /// Returns the page of records after a revision, as JSON.
     pub(super) fn page(&mut self, after: Revision) -> Arc<Vec<u8>> {
         if let Some(page) = self.pages.get(&after) {
             return Arc::clone(page);
         }
-        let page = Arc::new(to_json(&self.cut_page(after)));
+        let page = Arc::new(to_json(&self.page_after(after)));
         self.pages.insert(after, Arc::clone(&page));
         page
     }
 
-    /// The list of instances, as JSON.
+    /// Returns the instance list, as JSON.
     pub(super) fn list(&mut self) -> Arc<Vec<u8>> {
         let list = self
             .list
@@ -78,17 +81,17 @@
         Arc::clone(list)
     }
 
-    fn cut_page(&self, after: Revision) -> RecordPage {
-        cut_page(&self.published, after, self.page_bytes)
+    fn page_after(&self, after: Revision) -> RecordPage {
+        page_after(&self.published, after, self.page_bytes)
     }
 }
 
-/// All pages of what is published, as JSON.
-pub fn cut_pages(published: &Published, page_bytes: usize) -> Vec<Vec<u8>> {
+/// Returns all pages of the published records, as JSON.
+pub fn encode_pages(published: &Published, page_bytes: usize) -> Vec<Vec<u8>> {
     let mut pages = Vec::new();
     let mut after = Revision::default();
     loop {
-        let page = cut_page(published, after, page_bytes);
+        let page = page_after(published, after, page_bytes);
         pages.push(to_json(&page));
         match page.records.last() {
             Some(last) if page.more => after = last.revision,
@@ -97,7 +100,8 @@
     }
 }
 
-fn cut_page(published: &Published, after: Revision, page_bytes: usize) -> RecordPage {
+/// Returns the records after a revision whose values take at most `page_bytes`, and at least one record.
+fn page_after(published: &Published, after: Revision, page_bytes: usize) -> RecordPage {
     let all = &published.records;
     let first = all.partition_point(|record| record.revision <= after);
     let mut bytes = 0;
@@ -110,7 +114,7 @@
         end += 1;
     }
     RecordPage {
-        revision: published.newest(),
+        revision: published.newest_revision(),
         records: all[first..end].to_vec(),
         more: end < all.len(),
     }
--- a/crates/bench/src/capacity/fleet/target_calls.rs
+++ b/crates/bench/src/capacity/fleet/target_calls.rs
@@ -1,7 +1,7 @@
-//! Targets as they answer calls that aren't attempts.
+//! Responses of simulated targets to calls other than attempts.
 
 use {
-    super::published::{target_number, target_run},
+    super::published::{target_incarnation, target_number},
     whinlatch_core::{TargetCall, TargetEvent},
     whinlatch_wire::{
         ids::{AttemptId, Incarnation, Revision, TargetName},
@@ -11,40 +11,40 @@
     },
 };
 
-/// Head of a call as the HTTP library writes it, but for the path.
-const REQUEST_HEAD: &str = "GET  HTTP/1.1\r\nhost: 10.2.0.1:8000\r\ncontent-length: 0\r\n\r\n";
-/// Head of an answer as the HTTP library writes it.
-const ANSWER_HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-length: 1234\r\n\
+/// Request header as the HTTP library writes it, without the path.
+const REQUEST_HEADER: &str = "GET  HTTP/1.1\r\nhost: 10.2.0.1:8000\r\ncontent-length: 0\r\n\r\n";
+/// Response header as the HTTP library writes it.
+const RESPONSE_HEADER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 1234\r\n\
     date: Wed, 02 Dec 2026 12:00:00 GMT\r\ncontent-type: application/json\r\n\r\n";
-/// Prompt tokens that each open stream still holds.
+/// Memory that each open stream takes, in tokens.
 const TOKENS_PER_STREAM: u64 = 2_000;
 
-/// What a target answers, and what call and answer weigh.
+/// A target's response with the sizes of request and response.
 #[derive(Debug)]
 pub(super) struct TargetAnswer {
     pub(super) event: TargetEvent,
     pub(super) bytes_out: u64,
     pub(super) bytes_in: u64,
-    /// The report as JSON, where the daemon has to decode one.
+    /// The load report as JSON, which the daemon decodes; absent for other responses.
     pub(super) json: Option<Vec<u8>>,
 }
 
-/// Answers a call of a target that holds `streams` open streams; `None` for calls whose answer
-/// tells nothing.
-pub(super) fn answer(
+/// Returns the response of a target with `streams` open streams, or `None` for calls whose response
+/// carries no information.
+pub(super) fn answer_call(
     target: &TargetName,
     call: &TargetCall,
     streams: usize,
 ) -> Option<TargetAnswer> {
-    let incarnation = target_run(target_number(target));
+    let incarnation = target_incarnation(target_number(target));
     match call {
         TargetCall::Report => {
             let report = report(incarnation, streams);
             let json = serde_json::to_vec(&report).expect("a report is plain data");
             Some(TargetAnswer {
                 event: TargetEvent::Report(report),
-                bytes_out: (REQUEST_HEAD.len() + REPORT_PATH.len()) as u64,
-                bytes_in: (ANSWER_HEAD.len() + json.len()) as u64,
+                bytes_out: (REQUEST_HEADER.len() + REPORT_PATH.len()) as u64,
+                bytes_in: (RESPONSE_HEADER.len() + json.len()) as u64,
                 json: Some(json),
             })
         }
@@ -53,31 +53,31 @@
                 incarnation,
                 events: Vec::new(),
             };
-            Some(small(TargetEvent::Cache(events)))
+            Some(small_answer(TargetEvent::Cache(events)))
         }
-        TargetCall::State => Some(small(TargetEvent::State(state(target, incarnation)))),
-        TargetCall::Order { .. } => Some(small(TargetEvent::Ordered(OrderVerdict::Holds))),
+        TargetCall::State => Some(small_answer(TargetEvent::State(state(target, incarnation)))),
+        TargetCall::Order { .. } => Some(small_answer(TargetEvent::Ordered(OrderVerdict::Holds))),
         TargetCall::Reserve { reserve, .. } => {
-            Some(small(TargetEvent::Reserved(reserve.reservation)))
+            Some(small_answer(TargetEvent::Reserved(reserve.reservation)))
         }
         TargetCall::Release(_) | TargetCall::Cancel(_) => None,
     }
 }
 
-/// An answer of about a hundred bytes.
-fn small(event: TargetEvent) -> TargetAnswer {
+/// Returns a response with a body of about a hundred bytes.
+fn small_answer(event: TargetEvent) -> TargetAnswer {
     const BODY_BYTES: usize = 100;
     TargetAnswer {
         event,
-        bytes_out: (REQUEST_HEAD.len() + REPORT_PATH.len()) as u64,
-        bytes_in: (ANSWER_HEAD.len() + BODY_BYTES) as u64,
+        bytes_out: (REQUEST_HEADER.len() + REPORT_PATH.len()) as u64,
+        bytes_in: (RESPONSE_HEADER.len() + BODY_BYTES) as u64,
         json: None,
     }
 }
 
-/// The report of the target with this number while it holds `streams` open streams.
+/// Returns the load report of the target with this number while it has `streams` open streams.
 pub fn report_of(number: usize, streams: usize) -> LoadReport {
-    report(target_run(number), streams)
+    report(target_incarnation(number), streams)
 }
 
 fn report(incarnation: Incarnation, streams: usize) -> LoadReport {
--- a/crates/bench/src/capacity/heap.rs
+++ b/crates/bench/src/capacity/heap.rs
@@ -1,4 +1,5 @@
-//! Memory: what is allocated, counted at the allocator, and what is resident, as the kernel says.
+//! Memory of this process: allocated bytes, counted by the allocator, and resident bytes, reported by the
+//! kernel.
 
 use {
     stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc},
@@ -10,20 +11,20 @@
 
 /// Size of a page, in bytes.
 const PAGE_BYTES: usize = 4_096;
-/// Field of `/proc/self/statm` that holds the resident pages.
+/// Index of the field of `/proc/self/statm` with the resident pages.
 const RESIDENT_FIELD: usize = 1;
 
-/// Memory in use at one moment.
+/// Memory in use at one point in time, or a difference of two.
 #[derive(Debug, Clone, Copy)]
 pub struct Heap {
     /// Bytes allocated and not yet freed.
     pub allocated_bytes: i64,
-    /// Bytes of the process that are in memory; 0 where the kernel doesn't tell.
+    /// Resident bytes of the process; 0 where `/proc` isn't available.
     pub resident_bytes: i64,
 }
 
 impl Heap {
-    /// Memory in use now.
+    /// Returns the memory currently in use.
     pub fn now() -> Self {
         let stats = ALLOCATOR.stats();
         Self {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// What was added since `before`.
+    /// Returns the growth since `before`.
     pub fn since(self, before: Self) -> Self {
         Self {
             allocated_bytes: self.allocated_bytes - before.allocated_bytes,
--- a/crates/bench/src/capacity/measure/targets.rs
+++ b/crates/bench/src/capacity/measure/targets.rs
@@ -1,7 +1,7 @@
-//! Slopes over the number of targets.
+//! Slopes by number of targets.
 
 use {
-    super::per_second::{PerSecond, at_rest},
+    super::idle_cost::{IdleCost, measure_idle},
     crate::capacity::{
         fit::Point,
         fleet::{FleetOptions, Published, PublishedSize},
@@ -10,27 +10,27 @@
     },
 };
 
-/// Targets that are measured.
+/// Numbers of targets that are measured.
 pub const SIZES: [usize; 3] = [20, 100, 600];
-/// Targets that are measured for the exact figures.
+/// Numbers of targets that are measured with `--exact`.
 pub const EXACT_SIZES: [usize; 3] = [5, 10, 20];
-/// Daemons, few enough that they don't matter beside the targets.
+/// Daemons, few enough for the cost of peers to be negligible.
 const DAEMONS: usize = 8;
-/// Client accounts.
+/// Client accounts, few enough for their cost to be negligible.
 const ACCOUNTS: usize = 100;
 
-/// Measures fleets with several numbers of targets at rest.
+/// Measures idle fleets with several numbers of targets.
 pub fn measure(sizes: &[usize]) -> Report {
-    let measured: Vec<(usize, PerSecond)> = sizes
+    let measured: Vec<(usize, IdleCost)> = sizes
         .iter()
-        .map(|targets| (*targets, at_rest(options(*targets))))
+        .map(|targets| (*targets, measure_idle(options(*targets))))
         .collect();
-    let points = |value: fn(&PerSecond) -> f64| -> Vec<Point> {
+    let points = |value: fn(&IdleCost) -> f64| -> Vec<Point> {
         measured
             .iter()
-            .map(|(targets, spent)| Point {
+            .map(|(targets, cost)| Point {
                 x: *targets as f64,
-                y: value(spent),
+                y: value(cost),
             })
             .collect()
     };
@@ -38,13 +38,13 @@
     let slope = |name, unit, value| Slope::new(name, "target", unit, design_x, points(value));
     Report {
         slopes: vec![
-            slope("targets.calls", "calls/s", |s: &PerSecond| s.target_calls),
-            slope("targets.bytes", "B/s", |s| s.target_bytes).against(BUDGET_BYTES_PER_S),
-            slope("targets.watcher_platform_bytes", "B/s", |s| {
-                s.most_platform_bytes
+            slope("targets.calls", "calls/s", |c: &IdleCost| c.target_calls),
+            slope("targets.bytes", "B/s", |c| c.target_bytes).with_budget(BUDGET_BYTES_PER_S),
+            slope("targets.watcher_platform_bytes", "B/s", |c| {
+                c.max_platform_bytes
             })
-            .against(BUDGET_BYTES_PER_S),
-            slope("targets.cpu", "ms/s", |s| s.cpu_ms).against(BUDGET_CPU_MS_PER_S),
+            .with_budget(BUDGET_BYTES_PER_S),
+            slope("targets.cpu", "ms/s", |c| c.cpu_ms).with_budget(BUDGET_CPU_MS_PER_S),
         ],
         ..Report::default()
     }
@@ -56,5 +56,5 @@
         targets,
         accounts: ACCOUNTS,
     };
-    FleetOptions::new(DAEMONS, Published::of(size))
+    FleetOptions::new(DAEMONS, Published::new(size))
 }
--- a/crates/bench/src/capacity/repair.rs
+++ b/crates/bench/src/capacity/repair.rs
@@ -1,14 +1,15 @@
-//! Repair of the records of two daemons after a partition: the ways that came out best, and the one in use.
+//! Comparison of methods to repair the records of two daemons after a partition: the best candidates and
+//! the method in use.
 //!
-//! Each way is played between two sets of records, with each message encoded as CBOR. Ranges split
-//! by rank and records of whole buckets were weighed too; docs/CAPACITY.md has their figures.
+//! Each method runs between two sets of records and encodes each message as CBOR. Splitting ranges by rank
+//! and sending the records of whole buckets were compared too; docs/CAPACITY.md has the results.
 
-mod after;
+mod buckets;
 mod cases;
-mod flat;
+mod exchange_cost;
 mod index;
-mod side;
-mod table;
-mod transcript;
+mod methods;
+mod newer;
+mod replica;
 
-pub use table::{Repair, measure, measure_exact};
+pub use methods::{Repair, measure, measure_exact};
--- a/crates/bench/src/capacity/repair/cases.rs
+++ b/crates/bench/src/capacity/repair/cases.rs
@@ -1,5 +1,5 @@
 use {
-    super::side::Side,
+    super::replica::Replica,
     crate::capacity::{
         fleet::{Published, PublishedSize, account_key, account_value, envelope},
         size::{ACCOUNTS, TARGETS},
@@ -8,10 +8,10 @@
     std::collections::BTreeSet,
 };
 
-/// Seed of the choice of scattered keys.
+/// Seed for the choice of scattered keys.
 const SEED: u64 = 7;
 
-/// Where the keys that differ lie.
+/// Distribution of the keys that differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spread {
@@ -21,51 +21,51 @@
     Scattered,
 }
 
-/// Which side holds the changes.
+/// Replicas that have the changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Holder {
-    /// One side read the platform all the time; the other holds a prefix of the history.
+    /// One replica kept reading the platform; the records of the other are a prefix of the history.
     One,
-    /// Each side holds changes that the other lacks; their revisions alternate.
+    /// Each replica has changes that the other lacks: they alternate in order of revision.
     Both,
 }
 
-/// Two sides that differ.
+/// Two replicas that differ.
 #[derive(Debug, Clone, Copy)]
 pub struct Case {
-    /// Records that differ.
+    /// Number of records that differ.
     pub differences: usize,
-    /// Where their keys lie.
+    /// Distribution of their keys.
     pub spread: Spread,
-    /// Which side holds the changes.
+    /// Replicas that have the changes.
     pub holder: Holder,
 }
 
 impl Case {
-    /// The records of both sides.
-    pub fn sides(self) -> (Side, Side) {
-        let published = Published::of(PublishedSize {
+    /// Creates both replicas.
+    pub fn replicas(self) -> (Replica, Replica) {
+        let published = Published::new(PublishedSize {
             daemons: 0,
             targets: TARGETS,
             accounts: ACCOUNTS,
         });
-        let newest = published.newest().0;
-        let mut a = Side::default();
+        let newest = published.newest_revision().0;
+        let mut a = Replica::default();
         a.merge(published.records);
         let mut b = a.clone();
         for (change, account) in self.accounts().into_iter().enumerate() {
             let revision = newest + change as u64 + 1;
             let value = account_value(account, revision);
             let record = envelope(&account_key(account), revision, &value);
-            let at_b = self.holder == Holder::Both && !change.is_multiple_of(2);
-            let side = if at_b { &mut b } else { &mut a };
-            side.merge(vec![record]);
+            let is_for_b = self.holder == Holder::Both && !change.is_multiple_of(2);
+            let replica = if is_for_b { &mut b } else { &mut a };
+            replica.merge(vec![record]);
         }
         (a, b)
     }
 
-    /// Accounts that differ, in the order of their changes.
+    /// Returns the accounts that differ, in the order of their changes.
     fn accounts(self) -> Vec<usize> {
         match self.spread {
             Spread::Clustered => {
--- a/crates/bench/src/capacity/report.rs
+++ b/crates/bench/src/capacity/report.rs
@@ -1,4 +1,4 @@
-//! What was measured, as text, as JSON and as pictures.
+//! Report of the measurements as text, JSON and charts.
 
 mod plot;
 mod slope;
--- a/crates/bench/src/policy/engine.rs
+++ b/crates/bench/src/policy/engine.rs
@@ -309,7 +309,7 @@
     }
 
     /// Returns whether the current step prefills the prompt of an attempt.
-    pub fn is_reading(&self, attempt: AttemptId) -> bool {
+    pub fn is_prefilling(&self, attempt: AttemptId) -> bool {
         self.prefill_plan
             .iter()
             .any(|(planned, _)| *planned == attempt)
--- a/crates/bench/src/policy/simulation.rs
+++ b/crates/bench/src/policy/simulation.rs
@@ -380,7 +380,7 @@
     fn start_step(&mut self, engine: usize) {
         let helped = self.groups.iter().filter(|(attempt, (leader, members))| {
             members.iter().any(|(member, _)| *member == engine)
-                && self.engines[*leader].is_reading(**attempt)
+                && self.engines[*leader].is_prefilling(**attempt)
         });
         self.engines[engine].helped_groups = helped.count() as u32;
         if let Some(length_us) = self.engines[engine].begin_step(self.now_us) {
