--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,5 +1,5 @@
-//! Measurements of whinlatch: decisions under load and control at size in virtual time, and the
-//! daemon as a process.
+//! Benchmarks of whinlatch: decisions under load and the cost of the control plane at scale, both in
+//! virtual time, and the daemon as a process.
 
 mod capacity;
 mod path;
@@ -10,7 +10,7 @@
     std::process::ExitCode,
 };
 
-/// What to measure.
+/// The command to run, with its options.
 #[derive(Debug)]
 enum Command {
     Policy(policy::PolicyArgs),
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,20 +1,20 @@
-//! Measures the daemon as a process: the time that it adds to a request, the requests that a core
-//! serves, its memory with open streams, and its share of a core while it is idle.
+//! Measures the daemon as a process: the latency that it adds to a request, the requests that it serves per
+//! core, its memory with open streams, and its CPU usage while it is idle.
 //!
-//! The fakes and the daemons are programs of their own from the folder of this program, so that
-//! the processor time of each is counted apart. All is on the loopback, on free ports.
+//! The stand-ins and the daemons run as processes of their own, so that the CPU time of each can be read
+//! separately. Their binaries are in the directory of this one. All listen on free loopback ports.
 
 mod args;
 mod child;
 mod client;
 mod errors;
 mod figures;
-mod folder;
 mod measure;
-mod process_use;
+mod process_usage;
 mod report;
 mod run;
 mod setup;
+mod temp_dir;
 
 pub use {
     args::{PathArgs, path_args},
--- a/crates/bench/src/path/args.rs
+++ b/crates/bench/src/path/args.rs
@@ -1,33 +1,33 @@
 use bpaf::{Parser, construct, long};
 
-/// Requests asked each way unless told otherwise.
-const REQUESTS: u32 = 2_000;
-/// Streams opened unless told otherwise.
-const STREAMS: u32 = 1_000;
-/// Requests in flight at once in the closed loop unless told otherwise.
-const CONCURRENCY: u32 = 32;
+/// Default of `--requests`.
+const DEFAULT_REQUESTS: u32 = 2_000;
+/// Default of `--streams`.
+const DEFAULT_STREAMS: u32 = 1_000;
+/// Default of `--concurrency`.
+const DEFAULT_CONCURRENCY: u32 = 32;
 
-/// Options of the measurement.
+/// Options of the `path` command.
 #[derive(Debug)]
 pub struct PathArgs {
-    /// Requests asked directly and as many through the daemon; twice as many in the closed loop.
+    /// Requests sent to the engine, and as many through the daemon; twice as many in the closed loop.
     pub requests: u32,
-    /// Streams open at once.
+    /// Streams open at the same time.
     pub streams: u32,
-    /// Requests in flight at once in the closed loop.
+    /// Requests in flight at the same time in the closed loop.
     pub concurrency: u32,
-    /// Print JSON.
+    /// Whether to print JSON instead of text.
     pub json: bool,
 }
 
-/// Reads the options.
+/// Returns the parser of the command's options.
 pub fn path_args() -> impl Parser<PathArgs> {
-    let requests = count("requests", "Requests asked each way", REQUESTS);
-    let streams = count("streams", "Streams open at once", STREAMS);
+    let requests = count("requests", "Requests sent each way", DEFAULT_REQUESTS);
+    let streams = count("streams", "Streams open at once", DEFAULT_STREAMS);
     let concurrency = count(
         "concurrency",
         "Requests in flight in the closed loop",
-        CONCURRENCY,
+        DEFAULT_CONCURRENCY,
     );
     let json = long("json").help("Print JSON").switch();
     construct!(PathArgs {
@@ -38,11 +38,12 @@
     })
 }
 
-fn count(name: &'static str, help: &'static str, usual: u32) -> impl Parser<u32> {
+/// Returns the parser of an option that takes a positive number.
+fn count(name: &'static str, help: &'static str, default: u32) -> impl Parser<u32> {
     long(name)
         .help(help)
         .argument::<u32>("N")
-        .guard(|count| *count > 0, "write at least 1")
-        .fallback(usual)
+        .guard(|count| *count > 0, "must be at least 1")
+        .fallback(default)
         .display_fallback()
 }
--- a/crates/bench/src/path/measure.rs
+++ b/crates/bench/src/path/measure.rs
@@ -1,4 +1,4 @@
-//! The single measurements.
+//! The measurements of a running daemon.
 
 mod added;
 mod idle;
--- a/crates/bench/src/path/measure/added.rs
+++ b/crates/bench/src/path/measure/added.rs
@@ -1,50 +1,51 @@
 use {
     super::super::{
-        client::{ask_daemon, ask_engine, prompt},
+        client::{prompt, request_daemon, request_engine},
         errors::PathError,
-        figures::{Added, Compared, Times},
-        setup::{FAST_MODEL, FAST_PIECES, Setup},
+        figures::{AddedLatency, Comparison, Durations},
+        setup::{FAST_CHUNKS, FAST_MODEL, Setup},
     },
     whinlatch_wire::ids::Incarnation,
 };
 
-/// One in so many requests is asked before the measurement and not counted.
-const WARM_UP: u32 = 10;
+/// Divisor of the number of requests that gives the number of warm-up requests, which aren't counted.
+const WARM_UP_DIVISOR: u32 = 10;
 
-/// Times of one way.
+/// Latencies of one way.
 #[derive(Debug, Default)]
-struct Way {
-    first_chunk: Times,
-    whole: Times,
+struct WayLatencies {
+    first_chunk: Durations,
+    whole: Durations,
 }
 
-/// Asks the same prompts of the engine and of the daemon in turn, one at a time, so that whatever
-/// else the machine does meets both alike.
-pub async fn added(setup: &Setup, requests: u32) -> Result<Added, PathError> {
-    let run = setup.fast_report().await?.incarnation;
-    ask_in_turn(setup, run, requests / WARM_UP).await?;
-    let (direct, daemon) = ask_in_turn(setup, run, requests).await?;
-    Ok(Added {
+/// Measures the latency that the daemon adds. Sends each prompt to the engine and through the daemon in
+/// turn, so that other load on the machine affects both equally.
+pub async fn added(setup: &Setup, requests: u32) -> Result<AddedLatency, PathError> {
+    let incarnation = setup.fast_report().await?.incarnation;
+    request_in_turn(setup, incarnation, requests / WARM_UP_DIVISOR).await?;
+    let (direct, daemon) = request_in_turn(setup, incarnation, requests).await?;
+    Ok(AddedLatency {
         requests,
-        first_chunk: Compared::new(&direct.first_chunk, &daemon.first_chunk),
-        whole: Compared::new(&direct.whole, &daemon.whole),
+        first_chunk: Comparison::new(&direct.first_chunk, &daemon.first_chunk),
+        whole: Comparison::new(&direct.whole, &daemon.whole),
     })
 }
 
-async fn ask_in_turn(
+/// Sends prompts in turn. Returns the latencies at the engine and through the daemon.
+async fn request_in_turn(
     setup: &Setup,
-    run: Incarnation,
+    incarnation: Incarnation,
     requests: u32,
-) -> Result<(Way, Way), PathError> {
-    let (mut direct, mut daemon) = (Way::default(), Way::default());
+) -> Result<(WayLatencies, WayLatencies), PathError> {
+    let (mut direct, mut daemon) = (WayLatencies::default(), WayLatencies::default());
     for number in 0..requests {
-        let prompt = prompt(FAST_MODEL, number, FAST_PIECES);
-        let timed = ask_engine(setup.fast_engine(), run, &prompt).await?;
-        direct.first_chunk.add(timed.first_chunk);
-        direct.whole.add(timed.whole);
-        let timed = ask_daemon(setup.daemon(), &prompt).await?;
-        daemon.first_chunk.add(timed.first_chunk);
-        daemon.whole.add(timed.whole);
+        let prompt = prompt(FAST_MODEL, number, FAST_CHUNKS);
+        let latencies = request_engine(setup.fast_engine(), incarnation, &prompt).await?;
+        direct.first_chunk.add(latencies.first_chunk);
+        direct.whole.add(latencies.whole);
+        let latencies = request_daemon(setup.daemon(), &prompt).await?;
+        daemon.first_chunk.add(latencies.first_chunk);
+        daemon.whole.add(latencies.whole);
     }
     Ok((direct, daemon))
 }
--- a/crates/bench/src/path/process_usage.rs
+++ b/crates/bench/src/path/process_usage.rs
@@ -7,34 +7,34 @@
     },
 };
 
-/// What a process has used, as the kernel counts it.
+/// Resource usage of a process, read from `/proc`.
 #[derive(Debug)]
-pub struct ProcessUse(PathBuf);
+pub struct ProcessUsage(PathBuf);
 
-/// Memory and descriptors of a process.
+/// Memory, file descriptors and threads of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
-pub struct Held {
+pub struct Resources {
     /// Resident memory, in KiB.
     pub rss_kib: u64,
-    /// Most resident memory so far, in KiB.
+    /// Peak resident memory since the start of the process, in KiB.
     pub peak_rss_kib: u64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
-impl ProcessUse {
-    /// Reads of a process.
+impl ProcessUsage {
+    /// Returns the usage of the process with this id.
     pub fn of(id: u32) -> Self {
         Self(PathBuf::from(format!("/proc/{id}")))
     }
 
-    /// Memory and descriptors now.
-    pub fn held(&self) -> Result<Held, PathError> {
+    /// Reads the current memory, file descriptors and threads.
+    pub fn resources(&self) -> Result<Resources, PathError> {
         let path = self.0.join("status");
         let status = read(&path)?;
-        Ok(Held {
+        Ok(Resources {
             rss_kib: field(&status, "VmRSS:"),
             peak_rss_kib: field(&status, "VmHWM:"),
             descriptors: list(&self.0.join("fd"))?.len() as u64,
@@ -42,8 +42,8 @@
         })
     }
 
-    /// Processor time so far in ns, by the name of the threads. It is read per thread because the
-    /// process's own count has steps of 10 ms, too coarse for an idle process.
+    /// Reads the CPU time since the start of the process, in ns, summed by thread name. It is read per thread
+    /// because the count of the process has a resolution of 10 ms, too coarse for an idle process.
     pub fn cpu_ns(&self) -> Result<BTreeMap<String, u64>, PathError> {
         let mut by_name = BTreeMap::new();
         for thread in list(&self.0.join("task"))? {
@@ -56,13 +56,13 @@
     }
 }
 
-/// Descriptors that this process, and each that it starts, may have open.
+/// Reads the limit of open file descriptors of this process, which its child processes inherit.
 pub fn descriptor_limit() -> Result<u64, PathError> {
     let limits = read(Path::new("/proc/self/limits"))?;
     Ok(field(&limits, "Max open files"))
 }
 
-/// The first number after a name at the start of a line, 0 if there is none.
+/// Returns the first number after a field name at the start of a line, or 0 if there is none.
 fn field(text: &str, name: &str) -> u64 {
     let line = text.lines().find_map(|line| line.strip_prefix(name));
     line.and_then(|rest| rest.split_whitespace().next())
@@ -71,17 +71,17 @@
 }
 
 fn read(path: &Path) -> Result<String, PathError> {
-    fs::read_to_string(path).map_err(|source| failed(path, source))
+    fs::read_to_string(path).map_err(|source| io_error(path, source))
 }
 
 fn list(path: &Path) -> Result<Vec<PathBuf>, PathError> {
-    let entries = fs::read_dir(path).map_err(|source| failed(path, source))?;
+    let entries = fs::read_dir(path).map_err(|source| io_error(path, source))?;
     Ok(entries.flatten().map(|entry| entry.path()).collect())
 }
 
-fn failed(path: &Path, source: std::io::Error) -> PathError {
-    PathError::System {
-        what: path.display().to_string(),
+fn io_error(path: &Path, source: std::io::Error) -> PathError {
+    PathError::Io {
+        path: path.display().to_string(),
         source,
     }
 }
