--- a/crates/bench/tests/capacity_bounds.rs
+++ b/crates/bench/tests/capacity_bounds.rs
@@ -1,14 +1,15 @@
-//! Bytes, frames, reads, rounds and counts of control against their committed bounds.
+//! Compares the deterministic results of `whinlatch-bench capacity` with the bounds in
+//! `bounds/capacity.jsonc`.
 
 use {
     serde_json::Value,
     std::{collections::BTreeMap, path::Path, process::Command, sync::LazyLock},
 };
 
-/// What was measured, by name; a point of a slope has its size at the end of its name.
+/// Results by name. The name of a point of a slope ends in `@` and its x.
 type Figures = BTreeMap<String, f64>;
 
-/// One run, shared by the tests.
+/// Results of one run, which all tests share.
 static MEASURED: LazyLock<Figures> = LazyLock::new(measure);
 
 #[test]
@@ -16,39 +17,43 @@
     let bounds = read_bounds();
     let measured = &*MEASURED;
 
-    let broken: Vec<String> = bounds
+    let violations: Vec<String> = bounds
         .iter()
-        .filter_map(|bound| bound.broken_by(measured))
+        .filter_map(|bound| bound.violation(measured))
         .collect();
 
     assert!(
-        broken.is_empty(),
-        "run `whinlatch-bench capacity --exact` and compare:\n{}",
-        broken.join("\n")
+        violations.is_empty(),
+        "figures exceed their bounds (compare with `whinlatch-bench capacity --exact`):\n{}",
+        violations.join("\n")
     );
 }
 
 #[test]
-fn no_bound_is_left_out() {
+fn every_exact_figure_has_a_bound() {
     let bounds = read_bounds();
     let measured = &*MEASURED;
 
-    let unbound: Vec<&String> = measured
+    let unbounded: Vec<&String> = measured
         .keys()
         .filter(|name| is_exact(name))
         .filter(|name| !bounds.iter().any(|bound| bound.name == **name))
         .collect();
 
-    assert!(unbound.is_empty(), "write bounds for {unbound:?}");
+    assert!(
+        unbounded.is_empty(),
+        "bounds/capacity.jsonc has no bounds for {unbounded:?}"
+    );
 }
 
-/// How a figure may compare with its bound.
+/// Direction of a bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Relation {
     AtMost,
     AtLeast,
 }
 
+/// A committed bound of one figure.
 #[derive(Debug)]
 struct Bound {
     name: String,
@@ -57,7 +62,8 @@
 }
 
 impl Bound {
-    fn broken_by(&self, measured: &Figures) -> Option<String> {
+    /// Returns a message if the figure violates the bound or wasn't measured.
+    fn violation(&self, measured: &Figures) -> Option<String> {
         let Some(value) = measured.get(&self.name) else {
             return Some(format!("{} is not measured", self.name));
         };
@@ -70,10 +76,10 @@
     }
 }
 
-/// Processor time differs from run to run; all else is the same each time.
+/// Returns whether a figure is the same in each run, which holds for all but CPU times.
 fn is_exact(name: &str) -> bool {
-    let timed = ["cpu", ".time", "repair.index"];
-    !timed.iter().any(|part| name.contains(part))
+    let cpu_times = ["cpu", ".time", "repair.index"];
+    !cpu_times.iter().any(|part| name.contains(part))
 }
 
 fn read_bounds() -> Vec<Bound> {
@@ -87,11 +93,11 @@
         ("at_least", Relation::AtLeast),
     ]
     .into_iter()
-    .flat_map(|(field, relation)| bounds_of(&bounds[field], relation))
+    .flat_map(|(field, relation)| parse_bounds(&bounds[field], relation))
     .collect()
 }
 
-fn bounds_of(object: &Value, relation: Relation) -> Vec<Bound> {
+fn parse_bounds(object: &Value, relation: Relation) -> Vec<Bound> {
     let entries = object.as_object().expect("bounds are an object by name");
     entries
         .iter()
@@ -103,11 +109,12 @@
         .collect()
 }
 
+/// Runs the measurement and flattens its report.
 fn measure() -> Figures {
     let output = Command::new(env!("CARGO_BIN_EXE_whinlatch-bench"))
         .args(["capacity", "--exact", "--json"])
         .output()
-        .expect("the measurement starts");
+        .expect("whinlatch-bench starts");
     assert!(output.status.success(), "the measurement fails: {output:?}");
     let report: Value = serde_json::from_slice(&output.stdout).expect("the report is JSON");
     let mut figures = Figures::new();
--- a/crates/bench/tests/policy_bounds.rs
+++ b/crates/bench/tests/policy_bounds.rs
@@ -1,4 +1,4 @@
-//! Figures of the decisions in virtual time against their committed bounds.
+//! Compares the results of `whinlatch-bench policy` with the bounds in `bounds/policy.jsonc`.
 
 use {
     serde::Deserialize,
@@ -6,7 +6,7 @@
     std::{collections::BTreeMap, path::Path, process::Command},
 };
 
-/// Bounds of one mix.
+/// Bounds for one mix. All are upper bounds except `least_goodput`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Bounds {
@@ -22,21 +22,21 @@
 
 #[test]
 fn trueque_keeps_its_bounds() {
-    assert_eq!(broken("trueque"), Vec::<String>::new());
+    assert_eq!(violations("trueque"), Vec::<String>::new());
 }
 
 #[test]
 fn kalesa_keeps_its_bounds() {
-    assert_eq!(broken("kalesa"), Vec::<String>::new());
+    assert_eq!(violations("kalesa"), Vec::<String>::new());
 }
 
-/// The bounds that the measurement breaks, each with its figure.
-fn broken(mix: &str) -> Vec<String> {
+/// Measures a mix and returns a message for each violated bound.
+fn violations(mix: &str) -> Vec<String> {
     let bounds = read_bounds(mix);
     let measured = measure(mix);
     let policy = &measured["policies"][0];
     let first_band_ms = number(&policy["bands"][0]["ttft"]["p95"]);
-    let at_most = [
+    let upper_bounds = [
         ("late", sum(policy, "late"), bounds.late as f64),
         ("failed", sum(policy, "failed"), bounds.failed as f64),
         ("not_run", sum(policy, "not_run"), bounds.not_run as f64),
@@ -60,14 +60,14 @@
             number(&policy["share_error"]),
             bounds.share_error,
         ),
-        // Turned around, so that one comparison serves all.
+        // Negated, since goodput has a lower bound.
         (
             "least_goodput",
             -number(&policy["goodput"]),
             -bounds.least_goodput,
         ),
     ];
-    at_most
+    upper_bounds
         .iter()
         .filter(|(_, value, bound)| value > bound)
         .map(|(name, value, bound)| format!("{mix}: {name} is {value}, bound {bound}"))
@@ -91,7 +91,7 @@
         .args(["--daemons", "4", "--targets", "6"])
         .args(["--load", "0.8", "--seed", "1"])
         .output()
-        .expect("the measurement starts");
+        .expect("whinlatch-bench starts");
     assert!(output.status.success(), "the measurement fails: {output:?}");
     serde_json::from_slice(&output.stdout).expect("the report is JSON")
 }
