--- a/crates/bench/src/capacity/fleet/deliver.rs
+++ b/crates/bench/src/capacity/fleet/deliver.rs
@@ -165,8 +165,8 @@
         !self.partitioned || self.daemons[a].region == self.daemons[b].region
     }
 
-    /// Answers a read of records at once if there are newer ones, else when one is published or after
-    /// `wait_ms`.
+    /// Answers a read of records immediately if there are newer ones or it fails; otherwise when a newer one
+    /// is published or after `wait_ms`.
     fn read_records(&mut self, number: usize, after: Revision, wait_ms: u64) {
         self.daemons[number].counters.record_reads += 1;
         if !self.platform.admits(self.now) {
--- a/crates/bench/src/capacity/measure/apart.rs
+++ b/crates/bench/src/capacity/measure/apart.rs
@@ -58,7 +58,7 @@
     report
 }
 
-/// Measures a small case whose results are the same in each run.
+/// Measures a small case. All its results but the CPU time are the same in each run.
 pub fn measure_exact() -> Report {
     measure_case(Case {
         name: "apart.tiny_peers_only",
--- a/crates/bench/src/policy/simulation.rs
+++ b/crates/bench/src/policy/simulation.rs
@@ -345,7 +345,8 @@
             .push_back((daemon, Event::Target { target, event }));
     }
 
-    /// Returns the load report as of `report_lag_ms` ago, or the oldest one held if none is that old.
+    /// Returns the latest snapshot that is at least `report_lag_ms` old, else the oldest one, else the
+    /// current load if there is no snapshot.
     fn delayed_report(&self, engine: usize) -> LoadReport {
         let as_of_us = self
             .now_us
