--- a/crates/core/src/fleet/members/local_health.rs
+++ b/crates/core/src/fleet/members/local_health.rs
@@ -1,15 +1,16 @@
 use crate::time::MonoMs;
 
-/// Minimum gap between two ticks that shows that this process was paused, in ms.
+/// Gap between two ticks above which this process is considered to have been paused, in ms. The core
+/// applies the same to any two events, for its view of the targets.
 const PAUSE_THRESHOLD_MS: u64 = 2_000;
 /// Maximum penalty; silence timeouts grow by at most this many times their base.
 const MAX_PENALTY: u64 = 4;
 /// Time without a further pause after which the penalty falls by one, in ms.
 const PENALTY_DECAY_MS: u64 = 30_000;
 
-/// Local health of this daemon, after Lifeguard: a process that was paused received nothing and
-/// would otherwise suspect all others. Each pause adds to a penalty that lengthens the silence
-/// timeouts.
+/// Local health of this daemon, as in Lifeguard, the extension of the SWIM membership protocol: a
+/// process that was paused received nothing and would otherwise suspect all others. Each pause adds
+/// to a penalty that lengthens the silence timeouts.
 #[derive(Debug, Default)]
 pub(super) struct LocalHealth {
     penalty: u64,
--- a/crates/core/src/requests/request_table.rs
+++ b/crates/core/src/requests/request_table.rs
@@ -36,7 +36,7 @@
     /// Marks a request as dispatched. Called before the first byte is written, so that `not_run` is
     /// never reported for a request whose bytes may already be under way. Returns `false`, and changes
     /// nothing, if no attempt may be dispatched.
-    pub fn mark_dispatched(&mut self, request: RequestId, flight: InFlightAttempt) -> bool {
+    pub fn mark_dispatched(&mut self, request: RequestId, in_flight: InFlightAttempt) -> bool {
         let Some(entry) = self.by_id.get_mut(&request) else {
             return false;
         };
@@ -44,15 +44,16 @@
             return false;
         }
         self.held.remove(&request);
-        self.by_attempt.insert(flight.attempt, request);
-        entry.begin(flight);
+        self.by_attempt.insert(in_flight.attempt, request);
+        entry.begin(in_flight);
         true
     }
 
     /// Records that the first chunk of the answer arrived.
     pub fn mark_first_chunk(&mut self, request: RequestId) {
-        if let Some(Phase::InFlight(flight)) = self.by_id.get_mut(&request).map(|e| &mut e.phase) {
-            flight.first_chunk = true;
+        if let Some(Phase::InFlight(in_flight)) = self.by_id.get_mut(&request).map(|e| &mut e.phase)
+        {
+            in_flight.first_chunk = true;
         }
     }
 
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Held requests, ordered by id.
+    /// Returns the held requests, ordered by id.
     pub fn held(&self) -> Vec<RequestId> {
         self.held.iter().copied().collect()
     }
@@ -103,13 +104,13 @@
         let entry = self.by_id.remove(&request)?;
         self.by_deadline.remove(&(entry.deadline, request));
         self.held.remove(&request);
-        if let Some(flight) = entry.in_flight_attempt() {
-            self.by_attempt.remove(&flight.attempt);
+        if let Some(in_flight) = entry.in_flight_attempt() {
+            self.by_attempt.remove(&in_flight.attempt);
         }
         Some(entry)
     }
 
-    /// Requests whose deadline has passed, earliest first.
+    /// Returns the requests whose deadline has passed, earliest first.
     pub fn past_deadline(&self, now: MonoMs) -> Vec<RequestId> {
         self.by_deadline
             .iter()
@@ -118,19 +119,19 @@
             .collect()
     }
 
-    /// Earliest deadline of all requests; `None` if there are none.
+    /// Returns the earliest deadline of all requests; `None` if there are none.
     pub fn next_deadline(&self) -> Option<MonoMs> {
         self.by_deadline.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Requests with an attempt in flight.
+    /// Returns the requests with an attempt in flight, in no particular order.
     pub fn in_flight(&self) -> impl Iterator<Item = &Request> {
         self.by_attempt
             .values()
             .filter_map(|request| self.by_id.get(request))
     }
 
-    /// Requests with an attempt in flight at a target.
+    /// Returns the requests with an attempt in flight at a target, in no particular order.
     pub fn at_target(&self, target: &TargetName) -> impl Iterator<Item = &Request> {
         self.in_flight().filter(move |entry| {
             entry
@@ -139,7 +140,7 @@
         })
     }
 
-    /// Number of requests, in all phases.
+    /// Returns the number of requests, in all phases.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
--- a/crates/serving/src/relays/followed_relays.rs
+++ b/crates/serving/src/relays/followed_relays.rs
@@ -32,20 +32,20 @@
 /// What this instance knows of the store through its relays.
 #[derive(Debug, Default)]
 pub struct FollowedRelays {
-    known_to: Option<u64>,
+    complete_revision: Option<u64>,
     confirmed: HashMap<SocketAddr, ConfirmedRevision>,
     excluded_until: HashMap<SocketAddr, MonoMs>,
 }
 
 impl FollowedRelays {
     /// Returns the store revision up to which all changes are known, from relays or from the store itself.
-    pub fn known_to(&self) -> Option<u64> {
-        self.known_to
+    pub fn complete_revision(&self) -> Option<u64> {
+        self.complete_revision
     }
 
     /// Records that all changes up to a store revision are known.
     pub fn mark_complete_at(&mut self, revision: u64) {
-        self.known_to = self.known_to.max(Some(revision));
+        self.complete_revision = self.complete_revision.max(Some(revision));
     }
 
     /// Returns whether the changes that came with a status follow without a gap on those that are known.
@@ -53,17 +53,17 @@
     /// They don't if an earlier update was lost, or if nothing is known yet: a part of the published
     /// entries would then be taken for all of them.
     pub fn is_contiguous(&self, status: &RelayStatus) -> bool {
-        match (status.since, self.known_to) {
+        match (status.since, self.complete_revision) {
             (None, _) => true,
-            (Some(since), Some(known_to)) => since <= known_to,
+            (Some(since), Some(complete_revision)) => since <= complete_revision,
             (Some(_), None) => false,
         }
     }
 
     /// Applies a relay's status, after the changes that came with it.
     ///
-    /// Ignores the age of a status that is older than what is known here, from a relay that lags or whose
-    /// store went back to an earlier state: it doesn't confirm that the newer state still holds.
+    /// A status that is older than what is known here comes from a relay that lags, or whose store went back
+    /// to an earlier state. It doesn't confirm that the newer state still holds, so its age doesn't count.
     pub fn apply_status(
         &mut self,
         now: MonoMs,
@@ -71,7 +71,7 @@
         status: &RelayStatus,
         own_version: u64,
     ) {
-        if status.is_cut_off {
+        if status.is_store_lost {
             self.exclude(now, from);
             return;
         }
@@ -80,7 +80,9 @@
         }
         self.mark_complete_at(status.known.revision);
         self.excluded_until.remove(&from);
-        if self.known_to == Some(status.known.revision) && own_version >= status.known.version {
+        if self.complete_revision == Some(status.known.revision)
+            && own_version >= status.known.version
+        {
             let confirmed = ConfirmedRevision {
                 revision: status.known.revision,
                 as_of: MonoMs(now.0.saturating_sub(status.age_ms)),
@@ -89,18 +91,20 @@
         }
     }
 
-    /// Records that the store doesn't answer an instance, this one or a relay.
+    /// Records that the store doesn't answer an instance, this one or a relay, which is then not followed for
+    /// `EXCLUSION_MS`.
     pub fn exclude(&mut self, now: MonoMs, address: SocketAddr) {
         self.confirmed.remove(&address);
         self.excluded_until.insert(address, now + EXCLUSION_MS);
     }
 
-    /// Records that the store answers an instance.
+    /// Records that the store answers an instance again.
     pub fn readmit(&mut self, address: SocketAddr) {
         self.excluded_until.remove(&address);
     }
 
-    /// Returns whether the store answers an instance, as far as is known.
+    /// Returns whether an instance may read the store for others: false while it is excluded because the store
+    /// didn't answer it.
     pub fn may_read(&self, now: MonoMs, address: SocketAddr) -> bool {
         let until = self.excluded_until.get(&address);
         until.is_none_or(|until| *until <= now)
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -43,7 +43,7 @@
 
 /// Time after an instance took on a role until it knows all prompts that the role requires, in ms. Links open
 /// within some hundred ms, and prompts in flight are sent with the next tick after that.
-const TASK_SETTLING_MS: u64 = 1_000;
+const ROLE_SETTLING_MS: u64 = 1_000;
 
 /// State of an entry instance: its configuration, the targets, peers and relays that it knows, and the
 /// prompts and calls in flight.
@@ -57,7 +57,7 @@
     calls: CallLoads,
     notices: TargetNotices,
     quotas: QuotaTable,
-    next_permit: u64,
+    last_permit_number: u64,
     members: Membership,
     budget: FleetBudget,
     crashes: CrashTracker,
@@ -65,7 +65,7 @@
     /// Groups in which peers were asked to choose engines for a prompt of this instance.
     requested_groups: HashMap<JobId, Vec<EngineGroup>>,
     news: News,
-    next_job: u64,
+    last_job_number: u64,
     /// Own state as of the last heartbeat; `None` before the first.
     last_stated: Option<Member>,
     /// Whether this instance, as a hub, has learned something of a member that its last roster lacks.
@@ -75,15 +75,16 @@
     /// What a peer has known for a while and this instance still lacks.
     lag: Option<PeerLag>,
     /// The relays that this instance follows, and what it knows of the store through them.
-    following: FollowedRelays,
+    followed_relays: FollowedRelays,
     /// The instances that follow this one.
     followers: Followers,
     /// When this instance last completed a read of the store.
     read_at: Option<MonoMs>,
-    /// Time of the first call to the store that went unanswered since its last answer.
-    cut_off_since: Option<MonoMs>,
-    disabled: DisabledMechanisms,
-    /// When a peer last reported a placed prompt.
+    /// Time of the first call that the store didn't answer since its last answer; `None` while it answers.
+    store_lost_since: Option<MonoMs>,
+    /// Tells which mechanisms are enabled; all are by default.
+    mechanisms: DisabledMechanisms,
+    /// When a peer last reported a placed prompt; `None` if none ever has.
     last_peer_prompt_at: Option<MonoMs>,
     rng: fastrand::Rng,
 }
@@ -101,44 +102,44 @@
             calls: CallLoads::default(),
             notices: TargetNotices::default(),
             quotas: QuotaTable::default(),
-            next_permit: 0,
+            last_permit_number: 0,
             members: Membership::default(),
             budget: FleetBudget::new(rule),
             crashes: CrashTracker::default(),
             groups: EngineGroups::default(),
             requested_groups: HashMap::new(),
             news: News::default(),
-            next_job: 0,
+            last_job_number: 0,
             last_stated: None,
             is_roster_due: false,
             settled_at: MonoMs(0),
             lag: None,
-            following: FollowedRelays::default(),
+            followed_relays: FollowedRelays::default(),
             followers: Followers::default(),
             read_at: None,
-            cut_off_since: None,
-            disabled: DisabledMechanisms::default(),
+            store_lost_since: None,
+            mechanisms: DisabledMechanisms::default(),
             last_peer_prompt_at: None,
         }
     }
 
     /// Replaces the set of mechanisms that are switched off, none by default.
     pub fn disable_mechanisms(&mut self, mechanisms: DisabledMechanisms) {
-        self.disabled = mechanisms;
+        self.mechanisms = mechanisms;
     }
 
     /// Returns whether requests can be served: there is a configuration, targets are known, and the
-    /// instance wasn't told to stop.
+    /// instance wasn't ordered to stop.
     pub fn is_ready(&self) -> bool {
-        self.configuration.is_some() && self.targets.is_known() && !self.own.leaving
+        self.configuration.is_some() && self.targets.is_initialized() && !self.own.leaving
     }
 
-    /// Returns whether the instance was told to stop.
+    /// Returns whether the instance was ordered to stop.
     pub fn is_leaving(&self) -> bool {
         self.own.leaving
     }
 
-    /// Marks the instance as stopping. This can't be undone within a run.
+    /// Records that the instance was ordered to stop. This can't be undone within a run.
     pub fn leave(&mut self) {
         self.own.leaving = true;
     }
@@ -197,7 +198,7 @@
     fn update_ranks(&mut self, now: MonoMs) {
         let own = self.own_member(now);
         if self.members.rank(now, &own) || self.settled_at == MonoMs(0) {
-            self.settled_at = now + TASK_SETTLING_MS;
+            self.settled_at = now + ROLE_SETTLING_MS;
         }
     }
 
--- a/crates/serving/src/serving/requests.rs
+++ b/crates/serving/src/serving/requests.rs
@@ -38,7 +38,8 @@
     /// requesting instance may send nothing now.
     #[serde(rename = "tried")]
     pub excluded: Vec<TargetId>,
-    /// Whether it was sent to an engine before.
+    /// Whether it was sent to an engine before and is to be taken from the retry budget; false once it was
+    /// taken.
     pub is_repeat: bool,
     /// Whether its caller has received a part of the stream already.
     pub is_resumed: bool,
@@ -55,9 +56,9 @@
     pub helpers: Vec<TargetEntry>,
     /// Memory to be reserved at the first helper before the prompt is sent; `None` if none is needed.
     pub reserved: Option<ReservedMemory>,
-    /// Whether a small reservation is made at the answering engine as well, so that its part of the
-    /// prompt is read ahead of prompts that arrive later.
-    pub goes_first: bool,
+    /// Whether the answering engine is to read its part ahead of prompts that arrive later. For this, a little
+    /// memory has to be reserved there as well.
+    pub is_prioritized: bool,
     /// Expected time until the first event, in ms.
     pub first_event_ms: f64,
     /// Inputs of the decision, for the log.
@@ -73,7 +74,8 @@
     pub fingerprint: Fingerprint,
     /// Targets that were tried before.
     pub tried: &'a [TargetId],
-    /// Whether it was sent to a target before.
+    /// Whether it was sent to a target before and is to be taken from the retry budget; false once it was
+    /// taken.
     pub is_repeat: bool,
 }
 
@@ -105,7 +107,8 @@
     pub engines: u32,
     /// Whether the deciding instance knew little of what other instances place.
     pub is_blind: bool,
-    /// Time since the deciding instance last received a prompt from a peer, in ms; `None` if it never has.
+    /// Time since a peer last reported a placed prompt to the deciding instance, in ms; `None` if none ever
+    /// has.
     #[serde(rename = "heard_ms_ago")]
     pub last_peer_prompt_age_ms: Option<u64>,
 }
