--- a/crates/daemon/src/entry.rs
+++ b/crates/daemon/src/entry.rs
@@ -1,9 +1,8 @@
-//! An entry instance that serves published routes: the connections of callers, targets, peers and
-//! the store around [`whinlatch_serving::Serving`], which decides.
+//! An entry instance that serves published routes. This module owns the connections to callers,
+//! targets, peers and the store; [`whinlatch_serving::Serving`] takes the decisions.
 
 mod accept;
 mod answers;
-mod answers_whole;
 mod attempt;
 mod caller_connection;
 mod decision_line;
@@ -20,6 +19,7 @@
 mod own_call;
 mod permits;
 mod placing;
+mod plain_calls;
 mod request_context;
 mod reservations;
 mod routing;
--- a/crates/daemon/src/entry/accept.rs
+++ b/crates/daemon/src/entry/accept.rs
@@ -7,10 +7,10 @@
     std::sync::Arc,
 };
 
-/// Time between two tries to accept while the system gives no connections, in ms.
-const RETRY_MS: u64 = 20;
+/// Delay after a failed accept, such as for lack of file descriptors, in ms.
+const RETRY_INTERVAL_MS: u64 = 20;
 
-/// Takes connections for ever, each in a task of its own. `part` names the listener in the log.
+/// Accepts connections forever and serves each in a task of its own. `part` names the listener in the log.
 pub async fn accept_all<F>(
     state: Arc<EntryState>,
     listener: TcpListener,
@@ -26,8 +26,8 @@
             }
             Err(fault) => {
                 let fault = fault.to_string();
-                state.log(&Decision::Trouble { part, fault });
-                state.clock.sleep(RETRY_MS).await;
+                state.log(&Decision::Fault { part, fault });
+                state.clock.sleep(RETRY_INTERVAL_MS).await;
             }
         }
     }
--- a/crates/daemon/src/entry/answers.rs
+++ b/crates/daemon/src/entry/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Writes answers to callers.
 
 use {
     super::http::ResponseHead,
@@ -18,11 +18,11 @@
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// Statuses that promise that the request has not run. A target that doesn't say so besides has
-/// not promised it.
-pub const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses that promise the caller that its request has not run. A target's answer with one of them is
+/// passed on only with the header that confirms it.
+pub const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// The one answer to a request.
+/// The answer to a request. At most one is written.
 #[derive(Debug)]
 pub struct CallerAnswer<'a> {
     stream: &'a TcpStream,
@@ -32,19 +32,19 @@
     progress: Mutex<Progress>,
 }
 
-/// How far a request is, for the log, however it ends.
+/// Progress of a request, for its log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Progress {
     /// Time to the first event, in ms.
     pub first_event_ms: Option<u64>,
     /// Longest pause between two events, in ms.
     pub longest_pause_ms: u64,
-    /// Number of targets that the request was sent to.
+    /// Number of times that the request was sent to a target.
     pub sends: u32,
 }
 
 impl<'a> CallerAnswer<'a> {
-    /// An answer of which nothing is written; `is_last` if the connection closes after it.
+    /// Creates an answer that hasn't begun. `is_last` tells that the connection closes after it.
     pub fn new(stream: &'a TcpStream, is_last: bool) -> Self {
         Self {
             stream,
@@ -55,25 +55,25 @@
         }
     }
 
-    /// How far the request is.
+    /// Returns the progress so far.
     pub fn progress(&self) -> Progress {
         *self.lock()
     }
 
-    /// Notes that the request is sent to a target. Returns how many that makes.
-    pub fn note_sent(&self) -> u32 {
+    /// Records that the request is sent to a target. Returns the number of sends so far.
+    pub fn record_send(&self) -> u32 {
         let mut progress = self.lock();
         progress.sends += 1;
         progress.sends
     }
 
-    /// Notes the time to the first event.
-    pub fn note_first_event(&self, ms: u64) {
+    /// Records the time to the first event, in ms.
+    pub fn record_first_event(&self, ms: u64) {
         self.lock().first_event_ms = Some(ms);
     }
 
-    /// Notes a pause between two events.
-    pub fn note_pause(&self, ms: u64) {
+    /// Records a pause between two events, in ms.
+    pub fn record_pause(&self, ms: u64) {
         let mut progress = self.lock();
         progress.longest_pause_ms = progress.longest_pause_ms.max(ms);
     }
@@ -82,26 +82,26 @@
         self.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether something of it was written, so that no other answer can be given.
+    /// Whether some of it was written, so that no other answer can be sent.
     pub fn has_begun(&self) -> bool {
         self.has_begun.load(Ordering::Relaxed)
     }
 
-    /// Whether a target may have run the request, so that no answer may say otherwise.
+    /// Whether a target may have run the request, so that no status of [`NOT_RUN_STATUSES`] may be sent.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run.load(Ordering::Relaxed)
     }
 
-    /// Sets whether a target may have run the request. Set before the first byte is sent to it.
+    /// Sets whether a target may have run the request. Called before the first byte is sent to a target.
     pub fn set_may_have_run(&self, may_have_run: bool) {
         self.may_have_run.store(may_have_run, Ordering::Relaxed);
     }
 
-    /// Writes a failure of this system's own.
+    /// Writes an error of this system as JSON. `retry_after_ms` becomes a `Retry-After` header in seconds.
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn own(
+    pub async fn write_error(
         &self,
         status: u16,
         message: &str,
@@ -113,7 +113,7 @@
             reason(status)
         );
         if let Some(ms) = retry_after_ms {
-            // Writing to a string never fails.
+            // Writing to a String can't fail.
             let _written = write!(head, "Retry-After: {:.2}\r\n", ms as f64 / MS_PER_S);
         }
         self.finish(head, &body).await
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn whole(&self, head: &ResponseHead, body: &[u8]) -> io::Result<()> {
+    pub async fn write_full(&self, head: &ResponseHead, body: &[u8]) -> io::Result<()> {
         self.finish(status_and_headers(head), body).await
     }
 
@@ -135,7 +135,7 @@
         self.write(&bytes).await
     }
 
-    /// Begins a stream with the first target's head and its first events.
+    /// Begins a stream with the head of the first target that streams, and its first events.
     ///
     /// # Errors
     /// The connection broke.
@@ -148,7 +148,7 @@
         self.write(&bytes).await
     }
 
-    /// Passes on more events.
+    /// Writes further events of a stream.
     ///
     /// # Errors
     /// The connection broke.
@@ -158,7 +158,7 @@
         self.write(&bytes).await
     }
 
-    /// Ends a stream that is whole.
+    /// Writes the last chunk of a complete stream.
     ///
     /// # Errors
     /// The connection broke.
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a target, as far as calls and streams have it in common.
+//! One attempt to have a target serve a request: the part that calls and streams share.
 
 use {
     super::{
@@ -12,52 +12,52 @@
     whinlatch_serving::targets::TargetEntry,
 };
 
-/// Answers to other requests that are passed over before the connection is given up.
-const MOST_FOREIGN_ANSWERS: usize = 2;
+/// Answers to other requests that are skipped before the connection is closed.
+const MAX_FOREIGN_ANSWERS: usize = 2;
 
-/// How an attempt came to nothing.
+/// Reason for a failed attempt.
 #[derive(Debug, thiserror::Error)]
 pub enum AttemptFault {
-    /// No connection could be had, so nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     #[error("no connection to the target: {0}")]
     NotSent(io::Error),
-    /// The target takes nothing now, so nothing was sent.
+    /// The target's limit is used up or it asked for a pause, so nothing was sent.
     #[error("the target takes no more requests now")]
     NotPermitted,
-    /// The target says that it hasn't run the request and won't.
-    #[error("the target didn't take it, status {}", .0.status)]
+    /// The target confirms that it hasn't run the request and won't.
+    #[error("the target didn't run the request, status {}", .0.status)]
     NotRun(NotRun),
-    /// The target answers a question about itself with a failure.
+    /// The target answers a request for its report with an error.
     #[error("the target answers with status {0}")]
     Refused(u16),
-    /// The connection broke before anything came back.
+    /// The connection broke before the answer was complete, or the answer isn't HTTP.
     #[error("{0}")]
     Broken(#[from] TargetFault),
-    /// Memory that the prompt needs could not be set aside, so nothing was sent.
-    #[error("no memory could be set aside: {0}")]
+    /// Memory that the prompt needs couldn't be reserved at a helper, so nothing was sent.
+    #[error("no memory could be reserved: {0}")]
     NoMemory(String),
-    /// Nothing came for longer than a sound target needs.
+    /// Nothing arrived for longer than a healthy target takes.
     #[error("the target is silent")]
     Silent,
-    /// The target takes requests and works on none.
+    /// The target accepted the request but hasn't begun to work on it.
     #[error("the target doesn't begin to work on it")]
     Idle,
-    /// The answer is a success without a seal, so it isn't the target's.
-    #[error("the target's answer bears no seal")]
+    /// The answer is a success without a seal, so it doesn't come from the target.
+    #[error("the target's answer carries no seal")]
     Unsealed,
-    /// What came is no event stream's beginning.
-    #[error("answers to other requests came")]
+    /// Only answers to other requests arrived.
+    #[error("the target sent answers to other requests")]
     Foreign,
 }
 
-/// What a target says that hasn't run a request and won't.
+/// Answer of a target which confirms that it hasn't run a request and won't.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotRun {
     /// Status of its answer.
     pub status: u16,
-    /// Whether it isn't the target that was meant.
+    /// Whether another target than the addressed one answered.
     pub is_misdirected: bool,
-    /// Address of the target for whose sake it didn't, if it names one.
+    /// Address of the target that caused the refusal, such as a failed helper, if it names one.
     pub at_fault: Option<SocketAddr>,
 }
 
@@ -70,8 +70,7 @@
         )
     }
 
-    /// Whether the target can't be reached: no connection could be had, or nothing of what was sent
-    /// was acknowledged.
+    /// Whether the target is unreachable: no connection could be opened, or sent bytes weren't acknowledged.
     pub fn is_unreachable(&self) -> bool {
         match self {
             Self::NotSent(_) => true,
@@ -80,8 +79,8 @@
         }
     }
 
-    /// Whether it looks as if the request had crashed the target. On a connection that was used
-    /// before, a break tells no more than that the target had closed it.
+    /// Whether the request seems to have crashed the target. A break of a reused connection doesn't count,
+    /// since the target may just have closed it while idle.
     fn is_crash(&self, was_reused: bool) -> bool {
         match self {
             Self::Broken(TargetFault::Io(_) | TargetFault::Closed) => !was_reused,
@@ -91,8 +90,8 @@
     }
 }
 
-/// Tells all instances of a request whose target broke off the work.
-pub fn note_crash(
+/// Records, for all instances, that a target broke off its work on a request, unless `fault` is no crash.
+pub fn record_crash(
     state: &EntryState,
     context: &RequestContext,
     target: &TargetEntry,
@@ -106,7 +105,7 @@
     }
 }
 
-/// A connection on which the request may be sent.
+/// Returns an idle connection to a target, or opens one.
 ///
 /// # Errors
 /// [`AttemptFault::NotSent`].
@@ -126,12 +125,12 @@
 
 /// Sends the request and receives the head of its answer.
 ///
-/// Guards against a target that answers twice: the second answer comes where the next one is
-/// expected, and is told by its id.
+/// Guards against a target that answers a request twice: the second answer arrives where the next
+/// request's is expected. It is recognised by its request id and skipped.
 ///
 /// # Errors
 /// [`AttemptFault`].
-pub async fn ask(
+pub async fn send_request(
     state: &EntryState,
     target: &TargetEntry,
     connection: &mut TargetConnection,
@@ -140,7 +139,7 @@
 ) -> Result<ResponseHead, AttemptFault> {
     let sent_at = state.now();
     connection.send(bytes).await?;
-    for _ in 0..=MOST_FOREIGN_ANSWERS {
+    for _ in 0..=MAX_FOREIGN_ANSWERS {
         let head = connection.head(&context.head.method).await?;
         let answer = TargetAnswer::read(head.status, head.pairs());
         let is_foreign = answer
@@ -150,7 +149,7 @@
             connection.whole_body(&head).await?;
             continue;
         }
-        state.note_answer(sent_at, &target.id, &answer.notice);
+        state.apply_notice(sent_at, &target.id, &answer.notice);
         if answer.is_not_run {
             return Err(AttemptFault::NotRun(NotRun {
                 status: head.status,
--- a/crates/daemon/src/entry/caller_connection.rs
+++ b/crates/daemon/src/entry/caller_connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: requests one after the other, each read whole before it is served.
+//! Reads requests from callers' connections one after the other, each completely before it is served.
 
 use {
     super::{
@@ -20,17 +20,17 @@
     whinlatch_serving::catalog::Limits,
 };
 
-/// Time that an answer may stay without an acknowledgement before the caller counts as gone.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(5);
-/// Time between two pieces of a body, in ms. Bodies are small beside the callers' links.
-const BODY_PAUSE_MS: u64 = 5_000;
+/// Time that sent bytes may stay unacknowledged before the connection is taken as broken.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest pause between two parts of a body, in ms. Bodies are small for the callers' bandwidth.
+const BODY_PAUSE_TIMEOUT_MS: u64 = 5_000;
 
-/// Why a request wasn't read whole.
+/// Reason why a request couldn't be read.
 #[derive(Debug, Error)]
 enum ReadFault {
-    /// The caller closed the connection, or left it idle, between two requests.
-    #[error("the connection is over")]
-    Over,
+    /// The caller closed the connection, or left it idle for too long.
+    #[error("the connection is closed")]
+    Finished,
     #[error("the request came too slowly: send it at once")]
     Slow,
     #[error("the body is too large: send less")]
@@ -44,7 +44,7 @@
 impl ReadFault {
     fn status(&self) -> Option<u16> {
         match self {
-            Self::Over | Self::Body(BodyFault::CutOff) => None,
+            Self::Finished | Self::Body(BodyFault::CutOff) => None,
             Self::Slow => Some(408),
             Self::BodyTooLarge => Some(413),
             Self::Head(HeadFault::TooLarge) => Some(431),
@@ -54,34 +54,34 @@
     }
 }
 
-/// Takes callers' connections, for ever.
+/// Accepts callers' connections forever.
 pub async fn serve_callers(state: Arc<EntryState>, listener: TcpListener) {
     accept_all(state, listener, "callers", serve_caller).await;
 }
 
 async fn serve_caller(state: Arc<EntryState>, stream: TcpStream) {
-    if set_options(&stream, UNACKNOWLEDGED).is_err() {
+    if set_options(&stream, UNACKNOWLEDGED_TIMEOUT).is_err() {
         return;
     }
     let mut input = Input::default();
     loop {
         let request = match read_request(&state, &stream, &mut input).await {
             Ok(request) => request,
-            Err(fault) => return turn_away(&stream, &fault).await,
+            Err(fault) => return reject(&stream, &fault).await,
         };
-        let is_last = !request.head.is_kept || state.serving().is_leaving();
+        let is_last = !request.head.keeps_alive || state.serving().is_leaving();
         if !exchange(&state, &stream, &mut input, request, is_last).await {
             return;
         }
     }
 }
 
-/// Says what was wrong with what was read. Nothing more can be read on the connection.
-async fn turn_away(stream: &TcpStream, fault: &ReadFault) {
+/// Answers with the error in what was read. The connection closes, since the next request can't be found on it.
+async fn reject(stream: &TcpStream, fault: &ReadFault) {
     if let Some(status) = fault.status() {
         let answer = CallerAnswer::new(stream, true);
-        // A caller that is gone needs no answer.
-        let _written = answer.own(status, &fault.to_string(), None).await;
+        // A failed write means that the caller is gone.
+        let _written = answer.write_error(status, &fault.to_string(), None).await;
     }
 }
 
@@ -100,7 +100,7 @@
     if head.waits_for_continue {
         let mut stream = stream;
         let continued = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        continued.map_err(|_gone| ReadFault::Over)?;
+        continued.map_err(|_gone| ReadFault::Finished)?;
     }
     let body = read_body(state, stream, input, &head, &limits).await?;
     Ok(ReadRequest {
@@ -128,7 +128,7 @@
         let filled = input.fill(stream);
         match timeout(state.clock.as_ref(), limits.idle_timeout_ms, filled).await {
             Some(Ok(count)) if count > 0 => {}
-            Some(Ok(_) | Err(_)) | None => return Err(ReadFault::Over),
+            Some(Ok(_) | Err(_)) | None => return Err(ReadFault::Finished),
         }
     }
     Ok(state.now())
@@ -152,7 +152,7 @@
             return Err(HeadFault::TooLarge.into());
         }
         match input.fill(stream).await {
-            Ok(0) | Err(_) => return Err(ReadFault::Over),
+            Ok(0) | Err(_) => return Err(ReadFault::Finished),
             Ok(_) => {}
         }
     }
@@ -181,7 +181,7 @@
             return Ok(body);
         }
         let filled = input.fill(stream);
-        match timeout(state.clock.as_ref(), BODY_PAUSE_MS, filled).await {
+        match timeout(state.clock.as_ref(), BODY_PAUSE_TIMEOUT_MS, filled).await {
             Some(Ok(count)) if count > 0 => {}
             Some(Ok(_) | Err(_)) => return Err(BodyFault::CutOff.into()),
             None => return Err(ReadFault::Slow),
--- a/crates/daemon/src/entry/decision_line.rs
+++ b/crates/daemon/src/entry/decision_line.rs
@@ -1,4 +1,4 @@
-//! The log of an entry instance: one JSON object a line, one line a decision.
+//! The log of an entry instance: one JSON object per line, one line per decision.
 
 use {
     super::entry_metrics::EntryMetrics,
@@ -14,215 +14,220 @@
     },
 };
 
-/// A decision that touches a request, or changes what the process believes.
+/// A logged event: a decision on a request, or a change of what the process knows. The variant is the
+/// field `event`; its name and the names of its fields are read by the operators' tools.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Decision {
-    /// The process serves.
+    /// The instance has started.
     Started {
-        /// Name of the instance.
+        /// Name of the instance, from its settings.
         instance: String,
-        /// Its run.
+        /// Random id of this run of the process.
         run: u64,
     },
-    /// The process was told to stop, and until when it has time.
+    /// The process received the signal to stop.
     Stopping {
-        /// Time that is left, in ms.
+        /// Time until the process exits at the latest, in ms.
         left_ms: u64,
     },
-    /// The process ends.
+    /// The process exits.
     Stopped {
-        /// Requests that were cut off.
+        /// Requests still open, which are cut off.
         open_requests: usize,
     },
-    /// The settings were read again.
+    /// The settings were read again and have changed, or can't be read.
     Reloaded {
-        /// What of them is in force.
+        /// Which changes are active now, or the error.
         outcome: String,
     },
-    /// The process stood still.
-    Woke {
-        /// For how long, in ms.
+    /// The process resumed after its host had paused it.
+    #[serde(rename = "woke")]
+    ProcessResumed {
+        /// Length of the pause, in ms.
         paused_ms: u64,
     },
-    /// A configuration was put in force.
+    /// A configuration was activated.
     Configured {
         /// Its version.
         version: u64,
-        /// Where it came from.
+        /// `store` or `peer`.
         source: &'static str,
     },
-    /// Something that was published can't be read.
+    /// A published entry, a report or a peer's frame can't be read.
     Unreadable {
-        /// What is wrong.
+        /// Which one, and the error.
         fault: String,
     },
-    /// Something of the process's own doesn't work.
-    Trouble {
-        /// Part of the process.
+    /// An operation of the process itself failed.
+    #[serde(rename = "trouble")]
+    Fault {
+        /// Part of the process: a listener, `links` or `reservations`.
         part: &'static str,
-        /// What doesn't work.
+        /// The error.
         fault: String,
     },
-    /// The store doesn't answer any more.
+    /// The store stopped answering.
     StoreLost {
-        /// What it answered last.
+        /// Error of the first call that failed.
         fault: String,
     },
     /// The store answers again.
     StoreRegained {
-        /// For how long it didn't, in ms.
+        /// Time since the first call that failed, in ms.
         away_ms: u64,
     },
-    /// A target came, changed or went.
+    /// A target was added, changed or removed.
     Target {
-        /// Its run.
+        /// Id of its run, or its name if it is gone.
         target: String,
-        /// Its state now.
+        /// `ready`, `draining` or `gone`.
         state: &'static str,
-        /// Revision of the store at which that happened.
+        /// Revision of the store at which it changed.
         revision: u64,
-        /// Where it came from.
+        /// `store` or `peer`.
         source: &'static str,
     },
-    /// A target said something new of itself in an answer.
+    /// A target reported a new limit, pause or leaving in an answer.
     Noticed {
-        /// Its run.
+        /// Id of the target's run.
         target: String,
-        /// Requests a second that it takes from all instances together, if it names a limit.
+        /// Requests per second that the target takes from all instances together, if it names a limit.
         limit_per_s: Option<f64>,
-        /// Whether it is about to leave.
+        /// Whether the target is leaving.
         is_leaving: bool,
-        /// Time for which it wants nothing from this instance, in ms.
+        /// Pause that it asks of this instance, in ms.
         retry_after_ms: Option<u64>,
     },
-    /// A request isn't sent to a target that takes no more now.
+    /// A request isn't sent to a target since its limit is used up or it asked for a pause.
     NotPermitted {
-        /// Its run.
+        /// Id of the target's run.
         target: String,
-        /// Requests a second that it takes from all instances together, if it names a limit.
+        /// Requests per second that the target takes from all instances together, if it names a limit.
         limit_per_s: Option<f64>,
-        /// The instance that was asked for permission, if another one grants it.
+        /// Peer address of the instance that holds the quota, if it is another one and was asked.
         holder: Option<String>,
-        /// Time until it may be sent to again, in ms.
+        /// Time until the target takes requests of this instance again, in ms, if known.
         opens_in_ms: Option<u64>,
     },
-    /// The process goes by a relay's reading of the store.
+    /// The instance follows a relay and no longer calls the store.
     Relayed {
-        /// Where the relay links.
+        /// Peer address of the relay.
         relay: String,
-        /// Revision up to which it knows all.
+        /// Revision up to which the relay's knowledge is complete.
         revision: u64,
-        /// Time since the store told it so, in ms.
+        /// Time since the store confirmed that revision, in ms.
         age_ms: u64,
     },
-    /// The process has no fresh word of a relay any more, or is to read the store for others.
+    /// The instance no longer follows a relay: its status is stale, or this instance reads for others.
     RelayLost {
-        /// What it does about the store now.
-        duty: &'static str,
-        /// Revision up to which it knows all, if anything.
+        /// The instance's role in reading the store now.
+        #[serde(rename = "duty")]
+        role: &'static str,
+        /// Revision up to which this instance's knowledge is complete; `None` if it has none.
         known_to: Option<u64>,
     },
-    /// A link to a peer is open.
+    /// This instance opened a link to a peer.
     PeerLinked {
-        /// Where it links.
+        /// Peer address.
         peer: String,
     },
-    /// A link to a peer broke.
+    /// A link to a peer broke or was closed.
     PeerLost {
-        /// Where it links.
+        /// Peer address.
         peer: String,
-        /// Why.
+        /// The error, or that the link is no longer needed.
         fault: String,
     },
-    /// The process tells all others who is alive from now on, or no more.
+    /// The instance became a hub, which sends the roster to all peers, or ceased to be one.
     Hub {
-        /// Whether it does.
+        /// Whether it is a hub now.
         is_hub: bool,
-        /// Number of peers that it takes for alive.
+        /// Number of live peers.
         peers: usize,
     },
     /// A request was sent to a target.
     Sent {
         /// Id of the request.
         request: String,
-        /// Route by which it goes.
+        /// Name of its route.
         route: String,
-        /// Version of the configuration that decided.
+        /// Version of the configuration by which it was routed.
         version: u64,
-        /// The target.
+        /// Id of the target's run.
         target: String,
-        /// Engines that help to read it.
+        /// Ids of the helpers, in the order in which they are filled.
         helpers: Vec<String>,
-        /// When the first event is expected, in ms.
+        /// Expected time to the first event, in ms; 0 for a plain call.
         expected_ms: u64,
-        /// Time until it is late, in ms.
+        /// Time left until the objective of the route, or the deadline of a plain call, in ms; negative if it is
+        /// late.
         slack_ms: i64,
-        /// Longest pause with which its stream is on time, in ms.
+        /// Longest pause between events with which the stream is on time, in ms.
         #[serde(skip_serializing_if = "Option::is_none")]
         pause_limit_ms: Option<u64>,
-        /// What all tries of the same request of a caller have in common; `None` where nothing tells
-        /// them from requests of others.
+        /// Hash that is the same for all retries of a request; `None` for a request without a body, which
+        /// can't be told from others.
         #[serde(skip_serializing_if = "Option::is_none")]
         fingerprint: Option<String>,
-        /// Place among the request's attempts.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// What was weighed, of a prompt.
-        #[serde(skip_serializing_if = "Option::is_none")]
-        weighed: Option<DecisionInputs>,
+        /// Inputs of the decision; `None` for a plain call.
+        #[serde(rename = "weighed", skip_serializing_if = "Option::is_none")]
+        inputs: Option<DecisionInputs>,
     },
-    /// A request gets no target.
+    /// A request was refused.
     Refused {
         /// Id of the request.
         request: String,
-        /// Route by which it came.
+        /// Name of its route.
         route: String,
-        /// Why.
+        /// Message that the caller gets.
         reason: &'static str,
-        /// When its caller is to come back, in ms, if at all.
+        /// Time after which the caller may retry, in ms; `None` if it isn't to retry.
         retry_after_ms: Option<u64>,
-        /// What all tries of the same request of a caller have in common; `None` where nothing tells
-        /// them from requests of others.
+        /// Hash that is the same for all retries of a request; `None` for a request without a body, which
+        /// can't be told from others.
         #[serde(skip_serializing_if = "Option::is_none")]
         fingerprint: Option<String>,
-        /// What was weighed, of a prompt that others would lose too much by.
-        #[serde(skip_serializing_if = "Option::is_none")]
-        weighed: Option<DecisionInputs>,
+        /// Inputs of the decision, if a prompt was refused for its cost to others.
+        #[serde(rename = "weighed", skip_serializing_if = "Option::is_none")]
+        inputs: Option<DecisionInputs>,
     },
-    /// An attempt came to nothing.
+    /// An attempt failed.
     AttemptFailed {
         /// Id of the request.
         request: String,
-        /// The target.
+        /// Id of the target's run.
         target: String,
-        /// What happened.
+        /// The error.
         fault: String,
-        /// Whether the target may have run it.
+        /// Whether the target may have run the request.
         may_have_run: bool,
     },
-    /// A request is over.
+    /// A request ended.
     Ended {
         /// Id of the request.
         request: String,
-        /// How it ended.
+        /// `answered`, `refused`, `failed`, `cut` or `caller_gone`.
         outcome: &'static str,
-        /// Status that the caller got, 0 if none.
+        /// Status sent to the caller, 0 if none.
         status: u16,
-        /// Why, where it wasn't answered by a target.
+        /// Reason, empty if a target's answer was passed on.
         reason: String,
-        /// Time from its last byte to the end, in ms.
+        /// Time from its first byte to the end of its answer, in ms.
         took_ms: u64,
         /// Time to the first event, in ms.
         first_event_ms: Option<u64>,
         /// Longest pause between two of its events, in ms.
         longest_pause_ms: u64,
-        /// Number of targets that it was sent to.
+        /// Number of attempts in which it was sent to a target.
         sends: u32,
     },
 }
 
 impl Decision {
-    /// A target came, changed or went.
+    /// Creates the line for a change of a target; `source` is `store` or `peer`.
     pub fn target(change: &TargetChange, source: &'static str) -> Self {
         let entry = change.entry.as_ref();
         Self::Target {
@@ -244,7 +249,7 @@
     decision: &'a Decision,
 }
 
-/// The log of decisions, one JSON object each.
+/// Writes [`Decision`]s to the log from a thread of its own, so that no task waits for the output.
 #[derive(Debug)]
 pub struct DecisionLines {
     lines: LineQueue<String>,
@@ -252,16 +257,16 @@
 }
 
 impl DecisionLines {
-    /// Starts the writing thread; it ends when this is dropped.
+    /// Starts the writing thread, which stops when this is dropped.
     ///
     /// # Errors
-    /// [`DaemonError::Thread`] if there is no thread to be had.
+    /// [`DaemonError::Thread`] if the thread can't be started.
     pub fn start(metrics: Arc<EntryMetrics>) -> Result<Self, DaemonError> {
         let lines = LineQueue::start(|line: String| log::info!("{line}"))?;
         Ok(Self { lines, metrics })
     }
 
-    /// Queues a line.
+    /// Queues a line; counts it as dropped if the queue is full.
     pub fn write(&self, decision: &Decision) {
         let at_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -269,7 +274,7 @@
         let queued = serde_json::to_string(&Line { at_ms, decision })
             .is_ok_and(|line| self.lines.push(line));
         if !queued {
-            self.metrics.note_dropped_log_line();
+            self.metrics.record_dropped_log_line();
         }
     }
 }
--- a/crates/daemon/src/entry/directory.rs
+++ b/crates/daemon/src/entry/directory.rs
@@ -1,5 +1,4 @@
-//! Small questions about this instance: is it ready, which addresses may callers use, what does it
-//! count.
+//! Answers queries about this instance: readiness, the addresses that callers may use, and metrics.
 
 use {
     super::{
@@ -14,52 +13,52 @@
     whinlatch_platform::{ENTRY_TTL_S, MOST_ADDRESSES, READY_PATH, RESOLVE_PATH, resolve_body},
 };
 
-/// Bytes that the head of a question may have.
-const MOST_HEAD_BYTES: usize = 8 * 1024;
-/// Time for a question to come, also the next one on the same connection, in ms.
-const QUESTION_MS: u64 = 10_000;
-/// Path of the counters.
+/// Limit for the head of a query, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Timeout for a query to arrive, also for the next one on the same connection, in ms.
+const QUERY_TIMEOUT_MS: u64 = 10_000;
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Answers questions on a listener, for ever.
-pub async fn serve_questions(state: Arc<EntryState>, listener: TcpListener) {
-    accept_all(state, listener, "directory", answer_questions).await;
+/// Accepts connections with queries forever.
+pub async fn serve_queries(state: Arc<EntryState>, listener: TcpListener) {
+    accept_all(state, listener, "directory", serve_connection).await;
 }
 
-async fn answer_questions(state: Arc<EntryState>, stream: TcpStream) {
+async fn serve_connection(state: Arc<EntryState>, stream: TcpStream) {
     let mut input = Input::default();
-    // A connection that is closed already has no other end.
+    // A connection that is already closed has no peer address.
     let Ok(caller) = stream.peer_addr() else {
         return;
     };
     loop {
-        let read = read_question(&stream, &mut input);
-        let Some(Some(head)) = timeout(state.clock.as_ref(), QUESTION_MS, read).await else {
+        let read = read_query(&stream, &mut input);
+        let Some(Some(head)) = timeout(state.clock.as_ref(), QUERY_TIMEOUT_MS, read).await else {
             return;
         };
-        let is_last = !head.is_kept;
+        let is_last = !head.keeps_alive;
         let answer = CallerAnswer::new(&stream, is_last);
-        let answered = answer_question(&state, caller.ip(), &head, &answer).await;
+        let answered = answer_query(&state, caller.ip(), &head, &answer).await;
         if answered.is_err() || is_last {
             return;
         }
     }
 }
 
-async fn read_question(stream: &TcpStream, input: &mut Input) -> Option<RequestHead> {
+async fn read_query(stream: &TcpStream, input: &mut Input) -> Option<RequestHead> {
     loop {
         if let Some(end) = find_head_end(input.as_slice()).ok()? {
             let head = RequestHead::parse(&input.as_slice()[..end]).ok()?;
             input.consume(end);
             return (head.framing == Framing::Empty).then_some(head);
         }
-        if input.as_slice().len() > MOST_HEAD_BYTES || input.fill(stream).await.ok()? == 0 {
+        if input.as_slice().len() > MAX_HEAD_BYTES || input.fill(stream).await.ok()? == 0 {
             return None;
         }
     }
 }
 
-async fn answer_question(
+async fn answer_query(
     state: &EntryState,
     caller: IpAddr,
     head: &RequestHead,
@@ -67,12 +66,16 @@
 ) -> std::io::Result<()> {
     match head.target.split('?').next().unwrap_or_default() {
         READY_PATH if state.serving().is_ready() => {
-            answer.whole(&success("application/json"), b"{}").await
+            answer.write_full(&success("application/json"), b"{}").await
+        }
+        READY_PATH => {
+            answer
+                .write_error(503, "this instance isn't ready", None)
+                .await
         }
-        READY_PATH => answer.own(503, "this instance isn't ready", None).await,
         RESOLVE_PATH => resolve(state, caller, answer).await,
         METRICS_PATH => metrics(state, answer).await,
-        _ => answer.own(404, "there is nothing here", None).await,
+        _ => answer.write_error(404, "there is nothing here", None).await,
     }
 }
 
@@ -85,17 +88,17 @@
         .serving()
         .caller_addresses(state.now(), caller, MOST_ADDRESSES);
     if addresses.is_empty() {
-        return answer.own(503, "no instance is ready", None).await;
+        return answer.write_error(503, "no instance is ready", None).await;
     }
     let ttl_s = ENTRY_TTL_S.min(state.settings.entry_ttl_most_s.max(1));
     let body = resolve_body(&addresses, ttl_s)?;
-    answer.whole(&success("application/json"), &body).await
+    answer.write_full(&success("application/json"), &body).await
 }
 
 async fn metrics(state: &EntryState, answer: &CallerAnswer<'_>) -> std::io::Result<()> {
     match state.metrics.text() {
-        Ok(text) => answer.whole(&success("text/plain"), &text).await,
-        Err(fault) => answer.own(500, &fault.to_string(), None).await,
+        Ok(text) => answer.write_full(&success("text/plain"), &text).await,
+        Err(fault) => answer.write_error(500, &fault.to_string(), None).await,
     }
 }
 
@@ -105,7 +108,7 @@
         reason: "OK".to_owned(),
         headers: vec![("Content-Type".to_owned(), content_type.to_owned())],
         framing: Framing::Empty,
-        is_kept: true,
-        keep_ms: None,
+        keeps_alive: true,
+        keep_alive_ms: None,
     }
 }
--- a/crates/daemon/src/entry/engine_reports.rs
+++ b/crates/daemon/src/entry/engine_reports.rs
@@ -1,4 +1,4 @@
-//! Reads how fast the engines are. One instance does it for all.
+//! Reads the engines' reports of their pace. One instance does it for the whole fleet.
 
 use {
     super::{
@@ -14,27 +14,27 @@
     whinlatch_serving::targets::TargetEntry,
 };
 
-/// Time between two reports of an engine, in ms. An engine that has turned slow is left alone
-/// within it; each report is priced as a health check.
-const REPORT_EVERY_MS: u64 = 2_000;
-/// Time for a report, in ms.
-const REPORT_MS: u64 = 300;
+/// Time between two reports of an engine, in ms. An engine that has become slow is avoided within it; each
+/// report is charged like a health check.
+const REPORT_INTERVAL_MS: u64 = 2_000;
+/// Timeout for a report, in ms.
+const REPORT_TIMEOUT_MS: u64 = 300;
 
-/// Reads the engines' reports while that is this instance's task, for ever.
+/// Reads the engines' reports forever, as long as this instance is the one that reads them.
 ///
-/// The load that this answers: long prompts that several engines read wait for the slowest of them,
-/// and one that writes no streams shows nobody that it is slow.
+/// Guards against slow engines that go unnoticed: a long prompt read by several engines waits for the
+/// slowest of them, and an engine that writes no streams shows its pace nowhere else.
 pub async fn read_reports(state: Arc<EntryState>) {
     loop {
-        state.clock.sleep(REPORT_EVERY_MS).await;
+        state.clock.sleep(REPORT_INTERVAL_MS).await;
         let engines = state.serving().reported_engines(state.now());
         join_all(engines.iter().map(|engine| read(&state, engine))).await;
     }
 }
 
 async fn read(state: &EntryState, engine: &TargetEntry) {
-    // An engine that doesn't answer shows that to the prompts that are sent to it.
-    let Some(body) = report(state, engine, Need::Wanted).await else {
+    // Not recorded here: prompts sent to an engine that doesn't answer detect that.
+    let Some(body) = fetch_report(state, engine, Need::Optional).await else {
         return;
     };
     match read_pace(&body) {
@@ -48,18 +48,23 @@
     }
 }
 
-/// An engine's report; `None` if it gives none in time.
-pub async fn report(state: &EntryState, engine: &TargetEntry, need: Need) -> Option<Vec<u8>> {
-    let report = timeout(state.clock.as_ref(), REPORT_MS, ask(state, engine, need)).await;
+/// Fetches an engine's report; `None` if it fails or times out.
+pub async fn fetch_report(state: &EntryState, engine: &TargetEntry, need: Need) -> Option<Vec<u8>> {
+    let report = timeout(
+        state.clock.as_ref(),
+        REPORT_TIMEOUT_MS,
+        request_report(state, engine, need),
+    )
+    .await;
     report?.ok()
 }
 
-async fn ask(
+async fn request_report(
     state: &EntryState,
     engine: &TargetEntry,
     need: Need,
 ) -> Result<Vec<u8>, AttemptFault> {
-    let (head, body) = own_call(state, engine, OwnCall::Ask(REPORT_PATH), need).await?;
+    let (head, body) = own_call(state, engine, OwnCall::Query(REPORT_PATH), need).await?;
     if head.is_success() {
         Ok(body)
     } else {
--- a/crates/daemon/src/entry/entry_metrics.rs
+++ b/crates/daemon/src/entry/entry_metrics.rs
@@ -6,17 +6,17 @@
     whinlatch_serving::targets::TargetNotice,
 };
 
-/// Buckets of durations, in seconds: a small service call to the longest deadline.
+/// Buckets of durations, in seconds: from a small service call to the longest deadline.
 const BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0,
 ];
-/// Buckets of the age of what is known, in seconds: from one crossing of the network to the age at which
-/// a relay's word counts no more.
+/// Buckets of the age of a relay's status, in seconds: from one network crossing to the age at which the
+/// status is stale.
 const AGE_BUCKETS_S: [f64; 8] = [0.01, 0.05, 0.1, 0.25, 0.5, 0.75, 1.0, 1.5];
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1_000.0;
 
-/// What an entry instance counts.
+/// Metrics of an entry instance.
 #[derive(Debug)]
 pub struct EntryMetrics {
     registry: Registry,
@@ -28,18 +28,18 @@
     open_requests: IntGauge,
     store_failures: IntCounter,
     store_calls: IntCounterVec,
-    changes_passed_on: IntCounter,
-    changes_told: IntCounter,
+    relayed_changes: IntCounter,
+    changes_from_peers: IntCounter,
     knowledge_age: Histogram,
     linked_peers: IntGauge,
     dropped_log_lines: IntCounter,
 }
 
 impl EntryMetrics {
-    /// Metrics that stand at zero.
+    /// Creates and registers all metrics at zero.
     ///
     /// # Errors
-    /// A name is taken twice.
+    /// A name is registered twice.
     pub fn new() -> Result<Self, prometheus::Error> {
         let durations = HistogramOpts::new(
             "whinlatch_entry_request_seconds",
@@ -51,7 +51,7 @@
         );
         let knowledge_age = HistogramOpts::new(
             "whinlatch_entry_knowledge_age_seconds",
-            "Age of what relays told of the store, each time that it is looked at.",
+            "Age of the store's state as relays report it, each time that it is checked.",
         );
         let metrics = Self {
             registry: Registry::new(),
@@ -60,19 +60,22 @@
                 &["outcome", "status"],
             )?,
             attempts_failed: IntCounterVec::new(
-                Opts::new("whinlatch_entry_attempts_failed_total", "Attempts in vain."),
+                Opts::new(
+                    "whinlatch_entry_attempts_failed_total",
+                    "Attempts that failed.",
+                ),
                 &["may_have_run"],
             )?,
             notices: IntCounterVec::new(
                 Opts::new(
                     "whinlatch_entry_notices_total",
-                    "Answers in which a target says something of itself.",
+                    "Answers in which a target reports a limit, a pause or its leaving.",
                 ),
                 &["kind"],
             )?,
             durations: HistogramVec::new(durations.buckets(BUCKETS_S.to_vec()), &["outcome"])?,
             first_events: Histogram::with_opts(first_events.buckets(BUCKETS_S.to_vec()))?,
-            open_requests: IntGauge::new("whinlatch_entry_open_requests", "Requests at work.")?,
+            open_requests: IntGauge::new("whinlatch_entry_open_requests", "Requests in flight.")?,
             store_failures: IntCounter::new(
                 "whinlatch_entry_store_failures_total",
                 "Reads of the store that failed.",
@@ -81,13 +84,13 @@
                 Opts::new("whinlatch_entry_store_calls_total", "Calls of the store."),
                 &["kind", "reason"],
             )?,
-            changes_passed_on: IntCounter::new(
+            relayed_changes: IntCounter::new(
                 "whinlatch_entry_changes_passed_on_total",
-                "Changes of targets that were passed on, by change and instance.",
+                "Changes of targets that were sent to followers, by change and instance.",
             )?,
-            changes_told: IntCounter::new(
+            changes_from_peers: IntCounter::new(
                 "whinlatch_entry_changes_told_total",
-                "Changes of targets that peers told first.",
+                "Changes of targets that were first received from peers.",
             )?,
             knowledge_age: Histogram::with_opts(knowledge_age.buckets(AGE_BUCKETS_S.to_vec()))?,
             linked_peers: IntGauge::new("whinlatch_entry_linked_peers", "Links to peers.")?,
@@ -114,9 +117,9 @@
             .register(Box::new(self.store_failures.clone()))?;
         self.registry.register(Box::new(self.store_calls.clone()))?;
         self.registry
-            .register(Box::new(self.changes_passed_on.clone()))?;
+            .register(Box::new(self.relayed_changes.clone()))?;
         self.registry
-            .register(Box::new(self.changes_told.clone()))?;
+            .register(Box::new(self.changes_from_peers.clone()))?;
         self.registry
             .register(Box::new(self.knowledge_age.clone()))?;
         self.registry
@@ -125,10 +128,10 @@
             .register(Box::new(self.dropped_log_lines.clone()))
     }
 
-    /// The figures as text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// They can't be encoded.
+    /// A metric can't be encoded.
     pub fn text(&self) -> Result<Vec<u8>, prometheus::Error> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
@@ -136,12 +139,12 @@
     }
 
     /// Counts a request that begins.
-    pub fn note_opened(&self) {
+    pub fn record_request_started(&self) {
         self.open_requests.inc();
     }
 
-    /// Counts a request that is over.
-    pub fn note_ended(&self, outcome: &str, status: u16, took_ms: u64) {
+    /// Counts a request that ended, with its outcome, status (0 for none) and duration in ms.
+    pub fn record_request_ended(&self, outcome: &str, status: u16, took_ms: u64) {
         self.open_requests.dec();
         let status = status.to_string();
         self.requests.with_label_values(&[outcome, &status]).inc();
@@ -150,73 +153,73 @@
             .observe(took_ms as f64 / MS_PER_S);
     }
 
-    /// Requests at work.
+    /// Returns the number of requests in flight.
     pub fn open_requests(&self) -> usize {
         usize::try_from(self.open_requests.get()).unwrap_or(0)
     }
 
-    /// Notes the time to a first event.
-    pub fn note_first_event(&self, took_ms: u64) {
+    /// Records the time to a prompt's first event, in ms.
+    pub fn record_first_event(&self, took_ms: u64) {
         self.first_events.observe(took_ms as f64 / MS_PER_S);
     }
 
-    /// Counts an attempt in vain.
-    pub fn note_attempt_failed(&self, may_have_run: bool) {
+    /// Counts a failed attempt.
+    pub fn record_attempt_failed(&self, may_have_run: bool) {
         let label = if may_have_run { "yes" } else { "no" };
         self.attempts_failed.with_label_values(&[label]).inc();
     }
 
-    /// Counts what a target says of itself in an answer.
-    pub fn note_notice(&self, notice: &TargetNotice) {
+    /// Counts what a target reports about itself in an answer, by kind.
+    pub fn record_notice(&self, notice: &TargetNotice) {
         let kinds = [
             ("limit", notice.limit_per_s.is_some()),
             ("leaving", notice.is_leaving),
             ("retry_after", notice.retry_after_ms.is_some()),
         ];
-        for (kind, is_said) in kinds {
-            if is_said {
+        for (kind, is_present) in kinds {
+            if is_present {
                 self.notices.with_label_values(&[kind]).inc();
             }
         }
     }
 
     /// Counts a read of the store that failed.
-    pub fn note_store_failure(&self) {
+    pub fn record_store_failure(&self) {
         self.store_failures.inc();
     }
 
     /// Counts a call of the store.
-    pub fn note_store_call(&self, kind: &str, reason: &str) {
+    pub fn record_store_call(&self, kind: &str, reason: &str) {
         self.store_calls.with_label_values(&[kind, reason]).inc();
     }
 
-    /// Counts changes of targets that are passed on to peers.
-    pub fn note_passed_on(&self, count: usize) {
-        self.changes_passed_on.inc_by(count as u64);
+    /// Counts changes of targets that are sent to followers.
+    pub fn record_relayed_changes(&self, count: usize) {
+        self.relayed_changes.inc_by(count as u64);
     }
 
-    /// Counts changes of targets that a peer told before the store did.
-    pub fn note_told(&self, count: usize) {
-        self.changes_told.inc_by(count as u64);
+    /// Counts changes of targets that a peer reported before the store did.
+    pub fn record_peer_changes(&self, count: usize) {
+        self.changes_from_peers.inc_by(count as u64);
     }
 
-    /// Notes how old what relays told of the store is.
-    pub fn note_knowledge_age(&self, age_ms: u64) {
+    /// Records the age of the followed relay's status, in ms.
+    pub fn record_knowledge_age(&self, age_ms: u64) {
         self.knowledge_age.observe(age_ms as f64 / MS_PER_S);
     }
 
-    /// Notes a link that opened.
-    pub fn note_linked(&self) {
+    /// Counts a link that opened.
+    pub fn record_link_opened(&self) {
         self.linked_peers.inc();
     }
 
-    /// Notes a link that broke.
-    pub fn note_unlinked(&self) {
+    /// Counts a link that broke or was closed.
+    pub fn record_link_closed(&self) {
         self.linked_peers.dec();
     }
 
     /// Counts a log line that was dropped.
-    pub fn note_dropped_log_line(&self) {
+    pub fn record_dropped_log_line(&self) {
         self.dropped_log_lines.inc();
     }
 }
--- a/crates/daemon/src/entry/entry_state.rs
+++ b/crates/daemon/src/entry/entry_state.rs
@@ -16,34 +16,35 @@
     whinlatch_serving::{Serving, fleet::Frame, names::TargetId, targets::TargetNotice},
 };
 
-/// Time for which an instance counts as starting, in ms: as long as callers take to come back after
-/// all instances were lost. What isn't reached in short tries until then may be slow, and not away.
-const STARTING_MS: u64 = 3_000;
+/// Time for which an instance counts as starting, in ms: as long as callers take to reconnect after
+/// all instances were lost. During it, connections use short timeouts; a peer or store that misses them
+/// may only be slow, so the usual timeouts apply afterwards.
+const STARTING_PERIOD_MS: u64 = 3_000;
 
-/// What the tasks of an entry instance share.
+/// State shared by the tasks of an entry instance.
 #[derive(Debug)]
 pub struct EntryState {
-    /// The settings.
+    /// Settings as of the start; later seeds are in [`Self::seed_peers`].
     pub settings: InstanceSettings,
-    /// The clock.
+    /// Source of all times; paused in tests.
     pub clock: Arc<dyn Clock>,
-    /// Connections to targets.
+    /// Idle connections to targets.
     pub pool: TargetPool,
-    /// Links to peers.
+    /// Outgoing links to peers and requests pending with them.
     pub links: PeerLinks,
-    /// What is counted.
+    /// Metrics, shared with the log thread.
     pub metrics: Arc<EntryMetrics>,
-    /// When the process began to serve.
+    /// When the instance started.
     pub started_at: MonoMs,
     serving: Mutex<Serving>,
     seed_peers: Mutex<Vec<SocketAddr>>,
     log: DecisionLines,
-    /// Closed once the instance knows what is published.
+    /// Closed once the instance has a configuration and targets. Nothing is ever sent on it.
     ready: (Sender<()>, Receiver<()>),
 }
 
 impl EntryState {
-    /// Puts the parts together.
+    /// Creates the state of an instance that starts now.
     pub fn new(
         settings: InstanceSettings,
         clock: Arc<dyn Clock>,
@@ -65,41 +66,41 @@
         }
     }
 
-    /// Whether the instance started a moment ago, so that others may have done so with it.
+    /// Whether the instance started recently, so that its peers may be starting as well.
     pub fn is_starting(&self) -> bool {
-        self.now().since(self.started_at) < STARTING_MS
+        self.now().since(self.started_at) < STARTING_PERIOD_MS
     }
 
-    /// Notes that something published was taken in.
-    pub fn note_published(&self) {
+    /// Wakes waiting requests if the instance is ready. Called after each change from the store or a peer.
+    pub fn notify_if_ready(&self) {
         if self.serving().is_ready() {
             self.ready.0.close();
         }
     }
 
-    /// Whether the instance has ever known what is published.
+    /// Whether the instance has ever been ready.
     pub fn was_ready(&self) -> bool {
         self.ready.0.is_closed()
     }
 
-    /// Ends when the instance knows what is published.
+    /// Completes when the instance is ready for the first time.
     pub async fn until_ready(&self) {
-        // Nothing is ever sent, so that this ends with the channel's end.
+        // Nothing is sent, so this completes when the channel is closed.
         while self.ready.1.recv().await.is_ok() {}
     }
 
-    /// What decides. Never held across an await.
+    /// Locks the decision state. The guard must not be held across an await.
     pub fn serving(&self) -> MutexGuard<'_, Serving> {
         self.serving.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Addresses at which some peers link, as the settings have them now.
+    /// Returns the peer addresses from the last read of the settings.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let seeds = self.seed_peers.lock();
         seeds.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Takes in the addresses of changed settings. Returns whether they are others.
+    /// Replaces the seed peers. Returns whether they differ from the former ones.
     pub fn set_seed_peers(&self, seed_peers: Vec<SocketAddr>) -> bool {
         let held = self.seed_peers.lock();
         let mut held = held.unwrap_or_else(PoisonError::into_inner);
@@ -107,37 +108,38 @@
         former != *held
     }
 
-    /// This moment.
+    /// Returns the current time of the clock.
     pub fn now(&self) -> MonoMs {
         self.clock.now()
     }
 
-    /// Sends a frame to some peers.
+    /// Queues a frame on the links to the given peers; logs a frame that can't be encoded.
     pub fn send(&self, to: &[SocketAddr], frame: &Frame) {
-        self.note_unsent(self.links.send(to, frame));
+        self.log_encode_fault(self.links.send(to, frame));
     }
 
-    /// Sends a frame to all peers.
+    /// Queues a frame on all links; logs a frame that can't be encoded.
     pub fn send_to_all(&self, frame: &Frame) {
-        self.note_unsent(self.links.send_to_all(frame));
+        self.log_encode_fault(self.links.send_to_all(frame));
     }
 
-    fn note_unsent(&self, sent: Result<(), EncodeFault>) {
+    fn log_encode_fault(&self, sent: Result<(), EncodeFault>) {
         if let Err(fault) = sent {
-            self.log(&Decision::Trouble {
+            self.log(&Decision::Fault {
                 part: "links",
                 fault: fault.to_string(),
             });
         }
     }
 
-    /// Takes in what a target says of itself in its answer to a request of `sent_at`.
-    pub fn note_answer(&self, sent_at: MonoMs, target: &TargetId, notice: &TargetNotice) {
-        self.metrics.note_notice(notice);
-        let is_news = self
+    /// Applies what a target reports about itself in its answer to a request sent at `sent_at`, and logs
+    /// it if it is new.
+    pub fn apply_notice(&self, sent_at: MonoMs, target: &TargetId, notice: &TargetNotice) {
+        self.metrics.record_notice(notice);
+        let is_new = self
             .serving()
             .apply_target_notice(self.now(), sent_at, target, notice);
-        if is_news {
+        if is_new {
             self.log(&Decision::Noticed {
                 target: target.to_string(),
                 limit_per_s: notice.limit_per_s,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Writes a decision to the log.
+    /// Queues a line for the log.
     pub fn log(&self, decision: &Decision) {
         self.log.write(decision);
     }
--- a/crates/daemon/src/entry/event_splitter.rs
+++ b/crates/daemon/src/entry/event_splitter.rs
@@ -1,7 +1,7 @@
-/// Takes whole events out of a stream of them.
+/// Splits a stream of server-sent events into complete events.
 ///
-/// Guards against a target that stops in the middle of an event: half an event would reach the
-/// caller, and whoever resumes the stream would send the whole one behind it.
+/// Guards against a target that stops in the middle of an event: the caller would get half an event,
+/// and the whole one behind it from the target that resumes the stream.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
@@ -9,37 +9,37 @@
 }
 
 impl EventSplitter {
-    /// Buffer to which decoded bytes are added.
+    /// Returns the buffer to which decoded bytes are appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.pending
     }
 
-    /// Id of the last event that was taken.
+    /// Returns the id of the last complete event that was taken, if any had one.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Takes all whole events, as they came.
+    /// Takes all complete events, byte for byte; `None` if there is none.
     pub fn take_whole(&mut self) -> Option<Vec<u8>> {
         let end = last_event_end(&self.pending)?;
         let rest = self.pending.split_off(end);
         let whole = std::mem::replace(&mut self.pending, rest);
-        self.note_ids(&whole);
+        self.record_ids(&whole);
         Some(whole)
     }
 
-    /// Takes what follows the last whole event, at the end of a stream that is whole.
+    /// Takes the bytes after the last complete event, at the end of a complete stream.
     pub fn take_rest(&mut self) -> Option<Vec<u8>> {
         let rest = std::mem::take(&mut self.pending);
         (!rest.is_empty()).then_some(rest)
     }
 
-    /// Drops a half event; another target begins it anew.
-    pub fn drop_half(&mut self) {
+    /// Discards an incomplete event; the target that resumes the stream sends it from its start.
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
-    fn note_ids(&mut self, whole: &[u8]) {
+    fn record_ids(&mut self, whole: &[u8]) {
         for line in whole.split(|byte| *byte == b'\n') {
             let Some(value) = line.strip_prefix(b"id:") else {
                 continue;
@@ -52,11 +52,11 @@
     }
 }
 
-/// Place after the last empty line.
+/// Returns the index after the last empty line.
 fn last_event_end(bytes: &[u8]) -> Option<usize> {
-    (0..bytes.len()).rev().find_map(|place| {
-        let is_end = bytes[place] == b'\n'
-            && (bytes[..place].ends_with(b"\n") || bytes[..place].ends_with(b"\n\r"));
-        is_end.then_some(place + 1)
+    (0..bytes.len()).rev().find_map(|index| {
+        let is_end = bytes[index] == b'\n'
+            && (bytes[..index].ends_with(b"\n") || bytes[..index].ends_with(b"\n\r"));
+        is_end.then_some(index + 1)
     })
 }
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -1,14 +1,14 @@
-//! One request from its last byte to the end of its answer.
+//! Serves one request, from the moment at which it has been read to the end of its answer.
 
 use {
     super::{
         answers::CallerAnswer,
-        answers_whole::serve_call,
         decision_line::Decision,
         entry_state::EntryState,
         http::Input,
+        plain_calls::serve_call,
         request_context::{ReadRequest, RequestContext},
-        routing::{ASSUMED_DEADLINE_MS, MOST_RETRY_SHARE, Unrouted, route},
+        routing::{ASSUMED_DEADLINE_MS, RETRY_AFTER_DIVISOR, RoutingRejection, route},
         stream_relay::serve_stream,
     },
     crate::clock::timeout,
@@ -19,42 +19,42 @@
     whinlatch_serving::Refusal,
 };
 
-/// Time before the due moment at which a request without an answer is ended, in ms, so that the
-/// caller hears of it while it still waits.
+/// Time before a request's deadline at which it is ended if it has no answer, in ms, so that the
+/// error reaches the caller while it still waits.
 const ANSWER_MARGIN_MS: u64 = 30;
-/// Bytes of further requests that are read while one is at work.
-const MOST_AHEAD_BYTES: usize = 64 * 1024;
-/// Time for which a request waits for a configuration at most, in ms: half of the shortest time after
-/// which callers leave a stream that doesn't begin.
-const UNREADY_WAIT_MS: u64 = 1_000;
-/// Part of a caller's time for which its request waits for a configuration at most.
-const UNREADY_WAIT_PART: u64 = 4;
+/// Bytes of pipelined requests that are buffered while one is being served.
+const MAX_PIPELINED_BYTES: usize = 64 * 1024;
+/// Longest time that a request waits for a configuration, in ms: half of the shortest time after
+/// which callers abandon a stream that doesn't begin.
+const MAX_CONFIGURATION_WAIT_MS: u64 = 1_000;
+/// A request waits for a configuration for its deadline divided by this at most.
+const CONFIGURATION_WAIT_DIVISOR: u64 = 4;
 
 /// How a request ended.
 #[derive(Debug)]
-pub struct Ended {
-    /// How, in a word.
+pub struct RequestEnd {
+    /// Value of `outcome` in the log line and the metrics.
     pub outcome: &'static str,
-    /// Status that the caller got, 0 if none.
+    /// Status sent to the caller, 0 if none.
     pub status: u16,
-    /// Why, where it wasn't answered by a target.
+    /// Reason, empty if a target's answer was passed on.
     pub reason: String,
-    /// Whether the connection may carry another request.
-    pub is_kept: bool,
+    /// Whether the caller's connection can serve another request.
+    pub keeps_alive: bool,
 }
 
-impl Ended {
-    /// A target's answer was passed on whole.
+impl RequestEnd {
+    /// A target's whole answer was passed on.
     pub fn answered(status: u16) -> Self {
         Self {
             outcome: "answered",
             status,
             reason: String::new(),
-            is_kept: true,
+            keeps_alive: true,
         }
     }
 
-    /// Whether a target's success was passed on whole.
+    /// Whether a target's whole answer was passed on and its status is a success.
     fn is_success(&self) -> bool {
         self.outcome == "answered" && self.status < 300
     }
@@ -63,24 +63,24 @@
     pub fn caller_gone() -> Self {
         Self {
             outcome: "caller_gone",
-            is_kept: false,
+            keeps_alive: false,
             ..Self::answered(0)
         }
     }
 
-    /// A stream that was begun could not be brought to its end; the connection is closed, so that
-    /// it doesn't look whole.
+    /// A stream broke after its first bytes were sent. The connection is closed without the last
+    /// chunk, so that the caller doesn't take the stream as complete.
     pub fn cut(reason: String) -> Self {
         Self {
             outcome: "cut",
-            is_kept: false,
+            keeps_alive: false,
             reason,
             ..Self::answered(200)
         }
     }
 
-    /// Gives a failure of this system's own.
-    pub async fn own(
+    /// Answers with an error of this system, or cuts off an answer that has begun.
+    pub async fn error(
         answer: &CallerAnswer<'_>,
         status: u16,
         message: &str,
@@ -89,7 +89,7 @@
         if answer.has_begun() {
             return Self::cut(message.to_owned());
         }
-        match answer.own(status, message, retry_after_ms).await {
+        match answer.write_error(status, message, retry_after_ms).await {
             Ok(()) => Self {
                 outcome: if status == 503 { "refused" } else { "failed" },
                 reason: message.to_owned(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Gives a refusal, or a failure if a target may have run the request.
+    /// Answers with a refusal (503), or with 502 if a target may have run the request.
     pub async fn refused(
         state: &EntryState,
         answer: &CallerAnswer<'_>,
@@ -110,24 +110,24 @@
         if answer.may_have_run() {
             let message =
                 "an attempt failed, the request may have run, and no other target takes it";
-            return Self::own(answer, 502, message, None).await;
+            return Self::error(answer, 502, message, None).await;
         }
         let retry_after_ms = refusal.retry_after_ms();
-        let most_ms = context.due.since(context.arrived) / MOST_RETRY_SHARE;
-        let retry_after_ms = retry_after_ms.map(|ms| ms.min(most_ms));
+        let max_ms = context.due.since(context.arrived) / RETRY_AFTER_DIVISOR;
+        let retry_after_ms = retry_after_ms.map(|ms| ms.min(max_ms));
         state.log(&Decision::Refused {
             request: context.caller.request_id.clone(),
             route: context.route.name.clone(),
             reason: message,
             retry_after_ms,
             fingerprint: context.fingerprint_text(),
-            weighed: refusal.inputs(),
+            inputs: refusal.inputs(),
         });
-        Self::own(answer, 503, message, retry_after_ms).await
+        Self::error(answer, 503, message, retry_after_ms).await
     }
 }
 
-/// Serves a request. Returns whether the connection may carry another one.
+/// Serves a request. Returns whether the connection can serve another one.
 pub async fn exchange(
     state: &Arc<EntryState>,
     stream: &TcpStream,
@@ -135,24 +135,24 @@
     request: ReadRequest,
     is_last: bool,
 ) -> bool {
-    state.metrics.note_opened();
+    state.metrics.record_request_started();
     let arrived = request.arrived;
     let answer = CallerAnswer::new(stream, is_last);
     let (request_id, ended) = match read_caller_head(request.head.pairs()) {
         Ok(caller) => (
             caller.request_id.clone(),
-            attend(state, stream, input, request, caller, &answer).await,
+            route_and_serve(state, stream, input, request, caller, &answer).await,
         ),
         Err(fault) => (
             String::new(),
-            Ended::own(&answer, 400, &fault.to_string(), None).await,
+            RequestEnd::error(&answer, 400, &fault.to_string(), None).await,
         ),
     };
     let took_ms = state.now().since(arrived);
     state
         .metrics
-        .note_ended(ended.outcome, ended.status, took_ms);
-    let is_kept = ended.is_kept && !is_last;
+        .record_request_ended(ended.outcome, ended.status, took_ms);
+    let keeps_alive = ended.keeps_alive && !is_last;
     let progress = answer.progress();
     state.log(&Decision::Ended {
         request: request_id,
@@ -164,15 +164,15 @@
         longest_pause_ms: progress.longest_pause_ms,
         sends: progress.sends,
     });
-    is_kept
+    keeps_alive
 }
 
-/// Waits for a moment until the instance knows what is published, unless it does. Returns whether the
-/// caller is still there.
+/// Waits a limited time until the instance has a configuration and targets. Returns `false` if the
+/// caller disconnects meanwhile.
 ///
-/// The load that this answers: all instances start anew, and callers come back before the store has
-/// told what is published. Most have one try left, which a refusal would use up.
-async fn readied(
+/// Guards against refusals after a restart of all instances: callers reconnect before the store has
+/// been read, most of them with one retry left, which a refusal would use up.
+async fn wait_for_configuration(
     state: &EntryState,
     stream: &TcpStream,
     input: &mut Input,
@@ -182,7 +182,7 @@
         return true;
     }
     let deadline_ms = deadline_ms.unwrap_or(ASSUMED_DEADLINE_MS);
-    let wait_ms = UNREADY_WAIT_MS.min(deadline_ms / UNREADY_WAIT_PART);
+    let wait_ms = MAX_CONFIGURATION_WAIT_MS.min(deadline_ms / CONFIGURATION_WAIT_DIVISOR);
     let waited = timeout(state.clock.as_ref(), wait_ms, state.until_ready()).fuse();
     let left = caller_gone(stream, input).fuse();
     pin_mut!(waited, left);
@@ -192,25 +192,25 @@
     }
 }
 
-/// Finds out where a request goes and serves it.
-async fn attend(
+/// Routes a request and serves it.
+async fn route_and_serve(
     state: &Arc<EntryState>,
     stream: &TcpStream,
     input: &mut Input,
     request: ReadRequest,
     caller: CallerHead,
     answer: &CallerAnswer<'_>,
-) -> Ended {
-    if !readied(state, stream, input, caller.deadline_ms).await {
-        return Ended::caller_gone();
+) -> RequestEnd {
+    if !wait_for_configuration(state, stream, input, caller.deadline_ms).await {
+        return RequestEnd::caller_gone();
     }
     let context = match route(state, request, caller) {
         Ok(context) => context,
-        Err(Unrouted {
+        Err(RoutingRejection {
             status,
             message,
             retry_after_ms,
-        }) => return Ended::own(answer, status, &message, retry_after_ms).await,
+        }) => return RequestEnd::error(answer, status, &message, retry_after_ms).await,
     };
     let ended = serve(state, stream, input, &context, answer).await;
     if ended.is_success() {
@@ -219,15 +219,15 @@
     ended
 }
 
-/// Serves until the answer is whole, the caller is gone or the time is over. What is at work for
-/// the request then is dropped, which closes its connection to the target.
+/// Serves until the answer is complete, the caller disconnects or the deadline is near. In the last two
+/// cases the work in flight is dropped, which closes its connection to the target.
 async fn serve(
     state: &Arc<EntryState>,
     stream: &TcpStream,
     input: &mut Input,
     context: &RequestContext,
     answer: &CallerAnswer<'_>,
-) -> Ended {
+) -> RequestEnd {
     let work = async {
         if context.route.retry_policy.is_stream() && is_prompt(&context.caller) {
             serve_stream(state, context, answer).await
@@ -246,16 +246,16 @@
         pin_mut!(work, gone, due);
         select! {
             ended = work => Some(ended),
-            () = gone => Some(Ended::caller_gone()),
+            () = gone => Some(RequestEnd::caller_gone()),
             () = due => None,
         }
     };
     match ended {
         Some(ended) => ended,
         None if answer.may_have_run() => {
-            Ended::own(answer, 504, "the time for an answer is over", None).await
+            RequestEnd::error(answer, 504, "the time for an answer is over", None).await
         }
-        None => Ended::own(answer, 503, "no target took the request in time", None).await,
+        None => RequestEnd::error(answer, 503, "no target took the request in time", None).await,
     }
 }
 
@@ -263,10 +263,10 @@
     caller.prompt.is_some()
 }
 
-/// Ends when the caller closes its connection. Requests that it sends ahead are kept.
+/// Completes when the caller closes its connection. Pipelined requests are buffered in `input`.
 async fn caller_gone(stream: &TcpStream, input: &mut Input) {
     loop {
-        if input.as_slice().len() > MOST_AHEAD_BYTES {
+        if input.as_slice().len() > MAX_PIPELINED_BYTES {
             return future::pending().await;
         }
         match input.fill(stream).await {
--- a/crates/daemon/src/entry/http.rs
+++ b/crates/daemon/src/entry/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as callers and targets of published routes speak it: heads of any configured size, and
-//! paths and bodies byte for byte, which the HTTP library of the other interface doesn't promise.
+//! HTTP/1.1 for the callers and targets of published routes: heads up to a configured size, and paths and
+//! bodies passed on byte for byte, which the HTTP library of the other interface doesn't guarantee.
 
 mod body_decoder;
 mod head_reader;
--- a/crates/daemon/src/entry/http/body_decoder.rs
+++ b/crates/daemon/src/entry/http/body_decoder.rs
@@ -3,28 +3,28 @@
     thiserror::Error,
 };
 
-/// Bytes that the line before a chunk may have.
-const MOST_CHUNK_LINE_BYTES: usize = 256;
-/// Bytes that the lines after the last chunk may have.
-const MOST_TRAILER_BYTES: usize = 8 * 1024;
+/// Limit for the size line of a chunk, in bytes.
+const MAX_CHUNK_LINE_BYTES: usize = 256;
+/// Limit for each trailer line after the last chunk, in bytes.
+const MAX_TRAILER_BYTES: usize = 8 * 1024;
 
-/// Why a body can't be used.
+/// Reason why a body can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum BodyFault {
-    /// Its chunks can't be read.
+    /// The chunked coding is invalid.
     #[error("the chunks of the body can't be read: {0}")]
     Malformed(&'static str),
-    /// The connection ended before it.
+    /// The connection ended before the body was complete.
     #[error("the body is cut off")]
     CutOff,
 }
 
-/// How far a body is.
+/// Progress of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// More of it is to come.
+    /// More bytes are expected.
     More,
-    /// It is whole.
+    /// The body is complete.
     Whole,
 }
 
@@ -39,14 +39,14 @@
     Whole,
 }
 
-/// Takes a body out of its framing, as it comes.
+/// Decodes a body incrementally, by its framing.
 #[derive(Debug)]
 pub struct BodyDecoder {
     state: State,
 }
 
 impl BodyDecoder {
-    /// A decoder at the beginning of a body.
+    /// Creates a decoder at the start of a body.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Whole,
@@ -57,7 +57,7 @@
         Self { state }
     }
 
-    /// Moves what has come of the body to `out`.
+    /// Decodes the available input and appends it to `out`.
     ///
     /// # Errors
     /// [`BodyFault::Malformed`].
@@ -82,10 +82,10 @@
         }
     }
 
-    /// The connection ended in order.
+    /// Handles an orderly end of the connection.
     ///
     /// # Errors
-    /// [`BodyFault::CutOff`] if the body isn't whole by that.
+    /// [`BodyFault::CutOff`] if the body isn't complete.
     pub fn end(&mut self) -> Result<(), BodyFault> {
         match self.state {
             State::Whole | State::UntilClose => Ok(()),
@@ -101,8 +101,8 @@
         more: impl Fn(u64) -> State,
         done: State,
     ) -> bool {
-        let here = input.as_slice().len();
-        let count = usize::try_from(left).unwrap_or(usize::MAX).min(here);
+        let available = input.as_slice().len();
+        let count = usize::try_from(left).unwrap_or(usize::MAX).min(available);
         out.extend_from_slice(&input.as_slice()[..count]);
         input.consume(count);
         let left = left - count as u64;
@@ -111,7 +111,7 @@
     }
 
     fn chunk_line(&mut self, input: &mut Input) -> Result<bool, BodyFault> {
-        let Some(line) = line(input, MOST_CHUNK_LINE_BYTES)? else {
+        let Some(line) = line(input, MAX_CHUNK_LINE_BYTES)? else {
             return Ok(false);
         };
         let digits = line.split(';').next().unwrap_or_default().trim_end();
@@ -139,7 +139,7 @@
     }
 
     fn trailer(&mut self, input: &mut Input) -> Result<bool, BodyFault> {
-        while let Some(line) = line(input, MOST_TRAILER_BYTES)? {
+        while let Some(line) = line(input, MAX_TRAILER_BYTES)? {
             if line.is_empty() {
                 self.state = State::Whole;
                 return Ok(true);
@@ -149,17 +149,17 @@
     }
 }
 
-/// Takes a line that ends with carriage return and line feed.
-fn line(input: &mut Input, most: usize) -> Result<Option<String>, BodyFault> {
+/// Takes a line that ends with CR LF, without its end; `None` if it isn't complete yet.
+fn line(input: &mut Input, max_bytes: usize) -> Result<Option<String>, BodyFault> {
     let bytes = input.as_slice();
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
-        return if bytes.len() > most {
+        return if bytes.len() > max_bytes {
             Err(BodyFault::Malformed("a line is too long"))
         } else {
             Ok(None)
         };
     };
-    if end > most {
+    if end > max_bytes {
         return Err(BodyFault::Malformed("a line is too long"));
     }
     if end == 0 || bytes[end - 1] != b'\r' {
--- a/crates/daemon/src/entry/http/input.rs
+++ b/crates/daemon/src/entry/http/input.rs
@@ -8,27 +8,27 @@
     },
 };
 
-/// Bytes that are read at once.
+/// Bytes per read.
 const READ_BYTES: usize = 16 * 1024;
 
-/// Bytes that came over a connection and haven't been used.
+/// Buffer of received bytes that haven't been consumed.
 #[derive(Debug, Default)]
 pub struct Input {
     bytes: Vec<u8>,
 }
 
 impl Input {
-    /// What hasn't been used.
+    /// Returns the bytes that haven't been consumed.
     pub fn as_slice(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Whether everything has been used.
+    /// Whether all bytes have been consumed.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Drops the first bytes, which have been used.
+    /// Removes the first `count` bytes.
     pub fn consume(&mut self, count: usize) {
         self.bytes.drain(..count);
     }
@@ -37,8 +37,8 @@
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Reads more. Returns the number of bytes, 0 at the end of the connection. Nothing is lost
-    /// if the call is dropped before it ends.
+    /// Reads more bytes. Returns their number, 0 at the end of the connection. Cancel safe: no bytes are lost
+    /// if the future is dropped.
     ///
     /// # Errors
     /// The connection broke.
@@ -46,8 +46,8 @@
         poll_fn(|context| self.poll_fill(context, stream)).await
     }
 
-    /// As [`Self::fill`]. The buffer is on the stack of the call, so that a connection that waits
-    /// holds no memory for what may come.
+    /// Polls [`Self::fill`]. The read buffer is on the stack, so that a waiting connection occupies no memory
+    /// for it.
     pub fn poll_fill(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/daemon/src/entry/http/request_head.rs
+++ b/crates/daemon/src/entry/http/request_head.rs
@@ -1,45 +1,45 @@
 use super::HeadFault;
 
-/// Headers that a head may have.
-pub const MOST_HEADERS: usize = 128;
+/// Limit for the number of headers.
+pub const MAX_HEADERS: usize = 128;
 
-/// How the end of a body is found.
+/// Framing of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     Empty,
-    /// Its length in bytes.
+    /// A length in bytes.
     Length(u64),
-    /// Chunks, each with its length.
+    /// Chunked transfer coding.
     Chunked,
-    /// The end of the connection.
+    /// The body ends with the connection; only in answers.
     UntilClose,
 }
 
 /// Head of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Method.
+    /// Method, as sent.
     pub method: String,
-    /// Path and query as they were sent.
+    /// Path and query, byte for byte as sent.
     pub target: String,
-    /// Headers in order.
+    /// Names and trimmed values of the headers, in order.
     pub headers: Vec<(String, String)>,
-    /// How the end of the body is found.
+    /// Framing of the body that follows.
     pub framing: Framing,
-    /// Whether the caller takes another answer on this connection.
-    pub is_kept: bool,
-    /// Whether the caller waits for a word before it sends the body.
+    /// Whether the connection stays open after the answer.
+    pub keeps_alive: bool,
+    /// Whether the caller waits for `100 Continue` before it sends the body.
     pub waits_for_continue: bool,
 }
 
 impl RequestHead {
-    /// Reads a whole head.
+    /// Parses a complete head.
     ///
     /// # Errors
-    /// [`HeadFault`]; the connection can't be used any more.
+    /// [`HeadFault`]; the connection can't be used for another request.
     pub fn parse(bytes: &[u8]) -> Result<Self, HeadFault> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         match parsed.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
@@ -60,20 +60,20 @@
             method: parsed.method.unwrap_or_default().to_owned(),
             target: target.to_owned(),
             framing: framing(&headers)?,
-            is_kept: is_1_1 && !has_token(&headers, "connection", "close"),
+            keeps_alive: is_1_1 && !has_token(&headers, "connection", "close"),
             waits_for_continue: has_token(&headers, "expect", "100-continue"),
             headers,
         })
     }
 
-    /// Value of the first header of this name.
+    /// Returns the value of the first header with this name, in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.pairs()
             .find(|(header, _)| header.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// Names and values.
+    /// Returns names and values of the headers, in order.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &str)> + Clone {
         self.headers
             .iter()
@@ -81,7 +81,7 @@
     }
 }
 
-/// Copies headers whose values are text.
+/// Copies headers; fails on a value that isn't UTF-8.
 pub fn owned_headers(headers: &[httparse::Header<'_>]) -> Result<Vec<(String, String)>, HeadFault> {
     headers
         .iter()
@@ -93,7 +93,7 @@
         .collect()
 }
 
-/// Values of the headers of a name.
+/// Returns the values of all headers with this name, in any case.
 pub fn values<'a>(
     headers: &'a [(String, String)],
     name: &'a str,
@@ -104,15 +104,15 @@
         .map(|(_, value)| value.as_str())
 }
 
-/// Whether a header that is a list has this token.
+/// Whether a header that is a comma-separated list contains a token.
 pub fn has_token(headers: &[(String, String)], name: &str, token: &str) -> bool {
     values(headers, name)
         .flat_map(|value| value.split(','))
         .any(|part| part.trim().eq_ignore_ascii_case(token))
 }
 
-/// How the end of a body is found by the headers. A head that gives two answers is refused: the
-/// target could take the other one, and read a second request out of the first one's body.
+/// Determines the framing of a request body. Contradictory headers are refused: the target could interpret
+/// them differently and read a second request from the body (request smuggling).
 fn framing(headers: &[(String, String)]) -> Result<Framing, HeadFault> {
     let mut codings = values(headers, "transfer-encoding");
     let mut lengths = values(headers, "content-length");
@@ -135,7 +135,7 @@
     }
 }
 
-/// A length in decimal digits and nothing else.
+/// Parses a length that consists of decimal digits only.
 pub fn parse_length(text: &str) -> Result<u64, HeadFault> {
     let fault = HeadFault::Malformed("its length isn't a number");
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/crates/daemon/src/entry/http/response_head.rs
+++ b/crates/daemon/src/entry/http/response_head.rs
@@ -1,11 +1,11 @@
 use super::{
     Framing, HeadFault,
-    request_head::{MOST_HEADERS, has_token, owned_headers, parse_length, values},
+    request_head::{MAX_HEADERS, has_token, owned_headers, parse_length, values},
 };
 
 /// First status of a success.
 const OK: u16 = 200;
-/// Statuses whose answers have no body.
+/// Statuses of answers without a body.
 const NO_BODY: [u16; 2] = [204, 304];
 /// Milliseconds in a second.
 const MS_PER_S: u64 = 1_000;
@@ -13,27 +13,27 @@
 /// Head of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Its words.
+    /// Reason phrase.
     pub reason: String,
-    /// Headers in order.
+    /// Names and trimmed values of the headers, in order.
     pub headers: Vec<(String, String)>,
-    /// How the end of the body is found.
+    /// Framing of the body that follows.
     pub framing: Framing,
-    /// Whether the target takes another request on this connection.
-    pub is_kept: bool,
-    /// Time for which the target keeps an idle connection, in ms, if it says so.
-    pub keep_ms: Option<u64>,
+    /// Whether the connection stays open after the answer.
+    pub keeps_alive: bool,
+    /// Timeout of the `Keep-Alive` header, in ms, if the target sends one.
+    pub keep_alive_ms: Option<u64>,
 }
 
 impl ResponseHead {
-    /// Reads a whole head.
+    /// Parses a complete head. `method` is that of the request, since answers to HEAD have no body.
     ///
     /// # Errors
-    /// [`HeadFault`]; what comes over the connection is no answer.
+    /// [`HeadFault`]; the connection can't be used any more.
     pub fn parse(bytes: &[u8], method: &str) -> Result<Self, HeadFault> {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         match parsed.parse(bytes) {
             Ok(httparse::Status::Complete(_)) => {}
@@ -48,23 +48,23 @@
             status,
             reason: parsed.reason.unwrap_or_default().to_owned(),
             framing: framing(&headers, status, method)?,
-            is_kept: is_1_1 && !has_token(&headers, "connection", "close"),
-            keep_ms: keep_ms(&headers),
+            keeps_alive: is_1_1 && !has_token(&headers, "connection", "close"),
+            keep_alive_ms: keep_alive_ms(&headers),
             headers,
         })
     }
 
-    /// Whether it only announces the answer proper.
+    /// Whether it is an interim answer (1xx), which the final one follows.
     pub fn is_interim(&self) -> bool {
         self.status < OK
     }
 
-    /// Whether it is a success.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (OK..300).contains(&self.status)
     }
 
-    /// Names and values.
+    /// Returns names and values of the headers, in order.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &str)> + Clone {
         self.headers
             .iter()
@@ -93,7 +93,7 @@
     }
 }
 
-fn keep_ms(headers: &[(String, String)]) -> Option<u64> {
+fn keep_alive_ms(headers: &[(String, String)]) -> Option<u64> {
     values(headers, "keep-alive")
         .flat_map(|value| value.split(','))
         .find_map(|part| part.trim().strip_prefix("timeout="))
--- a/crates/daemon/src/entry/job_guard.rs
+++ b/crates/daemon/src/entry/job_guard.rs
@@ -1,7 +1,7 @@
 use {super::entry_state::EntryState, whinlatch_serving::fleet::JobId};
 
-/// A prompt at work. Dropped, however that comes about, it is told to be over: else the engines
-/// would be taken to be busy with it.
+/// Marks a placed prompt as running. Dropping it records the prompt's end, also when the request is
+/// cancelled; otherwise its engines would count as busy with it.
 #[derive(Debug)]
 pub struct JobGuard<'a> {
     state: &'a EntryState,
@@ -9,7 +9,7 @@
 }
 
 impl<'a> JobGuard<'a> {
-    /// Guards a prompt that was placed.
+    /// Creates the guard of a prompt that was admitted.
     pub fn new(state: &'a EntryState, job: JobId) -> Self {
         Self { state, job }
     }
--- a/crates/daemon/src/entry/links/frame_codec.rs
+++ b/crates/daemon/src/entry/links/frame_codec.rs
@@ -1,4 +1,4 @@
-//! Frames between instances as bytes.
+//! Encodes and decodes the frames between instances: CBOR, compressed by zlib if large.
 
 use {
     async_tungstenite::tungstenite::Bytes,
@@ -9,25 +9,25 @@
     whinlatch_wire::peer::MAX_FRAME_BYTES,
 };
 
-/// Bytes from which a frame is compressed. News of prompts stays well below; what is published is above, and
-/// goes to some sixty instances over one link each: uncompressed, a configuration of 1,400 routes keeps a
-/// relay's link busy for most of a second, and what other instances ask of it waits behind.
-const COMPRESSED_FROM_BYTES: usize = 8 * 1_024;
-/// First byte of a compressed frame, as zlib has it; no frame in CBOR begins so.
-const COMPRESSED_MARK: u8 = 0x78;
+/// Size from which a frame is compressed, in bytes. News of prompts stays well below it; the published state is
+/// above, and goes to some sixty instances over one link each. Uncompressed, a configuration of 1,400 routes
+/// keeps a relay's network busy for most of a second, and responses to other instances wait behind it.
+const COMPRESSION_THRESHOLD_BYTES: usize = 8 * 1_024;
+/// First byte of a zlib stream, which marks a compressed frame; no frame in CBOR begins with it.
+const ZLIB_FIRST_BYTE: u8 = 0x78;
 
-/// Why a frame isn't sent.
+/// Reason why a frame can't be encoded.
 #[derive(Debug, Error)]
 pub enum EncodeFault {
-    /// It has no form in CBOR.
+    /// The CBOR encoder failed.
     #[error("a frame can't be encoded: {0}")]
     Cbor(#[from] ciborium::ser::Error<io::Error>),
-    /// It can't be compressed.
+    /// The compressor failed.
     #[error("a frame can't be compressed: {0}")]
     Compression(#[from] io::Error),
 }
 
-/// Why a frame of a peer can't be read.
+/// Reason why a peer's frame can't be decoded.
 #[derive(Debug, Error)]
 #[error("a frame of a peer can't be read: {0}")]
 pub struct DecodeFault(#[from] ciborium::de::Error<io::Error>);
@@ -39,7 +39,7 @@
 pub fn encode_frame(frame: &Frame) -> Result<Bytes, EncodeFault> {
     let mut bytes = Vec::new();
     ciborium::into_writer(frame, &mut bytes)?;
-    if bytes.len() < COMPRESSED_FROM_BYTES {
+    if bytes.len() < COMPRESSION_THRESHOLD_BYTES {
         return Ok(Bytes::from(bytes));
     }
     let mut packed = ZlibEncoder::new(Vec::new(), Compression::fast());
@@ -47,14 +47,16 @@
     Ok(Bytes::from(packed.finish()?))
 }
 
-/// Decodes a frame. One that would be larger than a link takes is cut off there, and can't be read.
+/// Decodes a frame. The decompressed size is limited to [`MAX_FRAME_BYTES`]; a larger frame fails to decode.
 ///
 /// # Errors
 /// [`DecodeFault`].
 pub fn decode_frame(bytes: &[u8]) -> Result<Frame, DecodeFault> {
-    if bytes.first() != Some(&COMPRESSED_MARK) {
+    if bytes.first() != Some(&ZLIB_FIRST_BYTE) {
         return Ok(ciborium::from_reader(bytes)?);
     }
-    let most = MAX_FRAME_BYTES as u64;
-    Ok(ciborium::from_reader(ZlibDecoder::new(bytes).take(most))?)
+    let max_bytes = MAX_FRAME_BYTES as u64;
+    Ok(ciborium::from_reader(
+        ZlibDecoder::new(bytes).take(max_bytes),
+    )?)
 }
--- a/crates/daemon/src/entry/links/incoming.rs
+++ b/crates/daemon/src/entry/links/incoming.rs
@@ -1,4 +1,4 @@
-//! Links that peers open, and what is heard on them.
+//! Accepts the links that peers open, and applies the frames that arrive on them.
 
 use {
     super::decode_frame,
@@ -24,32 +24,32 @@
     },
 };
 
-/// Time for a peer that has connected to open its link, in ms.
-const OPENED_MS: u64 = 800;
-/// Silence after which a link that a peer opened is closed, in ms.
-const SILENT_MS: u64 = 5_000;
+/// Timeout for the WebSocket handshake of a peer that has connected, in ms.
+const HANDSHAKE_TIMEOUT_MS: u64 = 800;
+/// Time without a frame after which an incoming link is closed, in ms.
+const SILENCE_TIMEOUT_MS: u64 = 5_000;
 
-/// Takes links that peers open, for ever.
-pub async fn take_links(state: Arc<EntryState>, listener: TcpListener) {
-    accept_all(state, listener, "links", take_link).await;
+/// Accepts links from peers forever.
+pub async fn accept_links(state: Arc<EntryState>, listener: TcpListener) {
+    accept_all(state, listener, "links", serve_link).await;
 }
 
-async fn take_link(state: Arc<EntryState>, stream: TcpStream) {
-    // A connection that is closed already takes no options.
+async fn serve_link(state: Arc<EntryState>, stream: TcpStream) {
+    // Setting options fails if the connection is already closed.
     if let Ok(stream) = GuardedStream::new(stream) {
-        hear(&state, stream).await;
+        receive_frames(&state, stream).await;
     }
 }
 
-async fn hear(state: &EntryState, stream: GuardedStream) {
+async fn receive_frames(state: &EntryState, stream: GuardedStream) {
     let clock = state.clock.as_ref();
     let accepted = accept_async_with_config(stream, Some(link_config()));
-    let Some(Ok(mut socket)) = timeout(clock, OPENED_MS, accepted).await else {
+    let Some(Ok(mut socket)) = timeout(clock, HANDSHAKE_TIMEOUT_MS, accepted).await else {
         return;
     };
     let mut from = None;
     loop {
-        let message = match timeout(clock, SILENT_MS, socket.next()).await {
+        let message = match timeout(clock, SILENCE_TIMEOUT_MS, socket.next()).await {
             Some(Some(Ok(message))) => message,
             Some(Some(Err(Error::Capacity(fault)))) => {
                 state.log(&Decision::Unreadable {
@@ -72,21 +72,24 @@
         };
         from = frame.member.as_ref().map(|member| member.run).or(from);
         if let Some(from) = from {
-            take_frame(state, from, frame);
+            apply_frame(state, from, frame);
         }
     }
 }
 
-fn take_frame(state: &EntryState, from: u64, mut frame: Frame) {
-    if let Some(answer) = frame.placement_response.take() {
-        state.links.placements.answered(&answer.job.clone(), answer);
+fn apply_frame(state: &EntryState, from: u64, mut frame: Frame) {
+    if let Some(response) = frame.placement_response.take() {
+        state
+            .links
+            .placements
+            .complete(&response.job.clone(), response);
     }
-    if let Some(answer) = frame.permit_response.take() {
-        state.links.permits.answered(&answer.number, answer);
+    if let Some(response) = frame.permit_response.take() {
+        state.links.permits.complete(&response.number, response);
     }
-    let wants = frame.catch_up_request.take();
-    let ask = frame.placement_request.take();
-    let permit_ask = frame.permit_request.take();
+    let catch_up = frame.catch_up_request.take();
+    let placement_request = frame.placement_request.take();
+    let permit_request = frame.permit_request.take();
     let now = state.now();
     let mut serving = state.serving();
     let before = serving.version();
@@ -99,16 +102,27 @@
         .ok()
     });
     let version = serving.version();
-    let lacking = wants.map(|wants| (wants.reply_to, serving.catch_up_response(now, &wants)));
-    let placed = ask.map(|ask| (ask.reply_to, answer(&mut serving, now, &ask)));
-    let granted = permit_ask.and_then(|ask| grant(&mut serving, now, &ask));
+    let catch_up_response =
+        catch_up.map(|request| (request.reply_to, serving.catch_up_response(now, &request)));
+    let placement_response = placement_request.map(|request| {
+        (
+            request.reply_to,
+            answer_placement_request(&mut serving, now, &request),
+        )
+    });
+    let permit_response =
+        permit_request.and_then(|request| answer_permit_request(&mut serving, now, &request));
     drop(serving);
-    state.note_published();
-    state.metrics.note_told(changes.len());
+    state.notify_if_ready();
+    state.metrics.record_peer_changes(changes.len());
     for change in &changes {
         state.log(&Decision::target(change, "peer"));
     }
-    for (to, frame) in lacking.into_iter().chain(placed).chain(granted) {
+    for (to, frame) in catch_up_response
+        .into_iter()
+        .chain(placement_response)
+        .chain(permit_response)
+    {
         state.send(&[to], &frame);
     }
     if version != before {
@@ -117,21 +131,29 @@
     }
 }
 
-/// The answer to an ask for a permit, and where it goes.
-fn grant(serving: &mut Serving, now: MonoMs, ask: &PermitRequest) -> Option<(SocketAddr, Frame)> {
-    let permit_answer = serving.answer_permit_request(now, ask);
+/// Returns the response to a permit request and its recipient; `None` if the request expects no response.
+fn answer_permit_request(
+    serving: &mut Serving,
+    now: MonoMs,
+    request: &PermitRequest,
+) -> Option<(SocketAddr, Frame)> {
+    let permit_response = serving.answer_permit_request(now, request);
     let frame = Frame {
-        permit_response: permit_answer,
+        permit_response,
         ..Frame::default()
     };
-    Some((ask.reply_to?, frame))
+    Some((request.reply_to?, frame))
 }
 
-fn answer(serving: &mut Serving, now: MonoMs, ask: &PlacementRequest) -> Frame {
-    let placement = serving.choose_engines(now, ask.job, ask.group, &ask.prompt);
+fn answer_placement_request(
+    serving: &mut Serving,
+    now: MonoMs,
+    request: &PlacementRequest,
+) -> Frame {
+    let placement = serving.choose_engines(now, request.job, request.group, &request.prompt);
     Frame {
         placement_response: Some(PlacementResponse {
-            job: ask.job,
+            job: request.job,
             placement,
         }),
         ..Frame::default()
--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -14,77 +14,77 @@
     },
 };
 
-/// Time between looks for news that peers are told, in ms. News 20 ms old costs placement nothing
-/// that can be measured; news 100 ms old does.
-const NEWS_MS: u64 = 20;
-/// Time between looks for what time alone decides, in ms.
-const TICK_MS: u64 = 250;
-/// Time between looks for links that are missing while an instance starts, in ms.
-const STARTING_LOOK_MS: u64 = 50;
-/// A gap between two ticks after which the process is taken to have been paused, in ms.
-const PAUSE_MS: u64 = 700;
+/// Time between two sends of news to peers, in ms. News 20 ms old has no measurable effect on placement; news
+/// 100 ms old has.
+const NEWS_INTERVAL_MS: u64 = 20;
+/// Time between two evaluations of what depends on time alone, such as expiry, in ms.
+const TICK_INTERVAL_MS: u64 = 250;
+/// Time between two checks for missing links while an instance starts, in ms.
+const STARTING_LINK_CHECK_INTERVAL_MS: u64 = 50;
+/// Gap between two iterations from which the process is taken to have been paused by its host, in ms.
+const MIN_PROCESS_PAUSE_MS: u64 = 700;
 
-/// What keeps links and tells news.
-struct Keeper {
+/// Maintains the links to peers and sends news on them.
+struct LinkKeeper {
     state: Arc<EntryState>,
-    /// The peers that know this instance's prompts, and on which groups of engines.
+    /// Deciders that have this instance's prompts, with the groups of engines whose prompts they have.
     informed: BTreeMap<SocketAddr, Vec<EngineGroup>>,
     wanted: WantedLinks,
     is_hub: bool,
-    /// Whether this instance goes by a relay, as the log has it.
-    is_relayed: bool,
+    /// Whether this instance follows a relay, as last logged.
+    follows_relay: bool,
 }
 
-/// Keeps links to peers and tells them what is new, for ever.
+/// Maintains links to peers and sends them news, forever.
 pub async fn keep_links(state: Arc<EntryState>) {
-    let mut next_beat = state.now();
-    let mut next_tick = state.now();
-    let mut next_look = state.now();
+    let mut next_heartbeat_at = state.now();
+    let mut next_tick_at = state.now();
+    let mut next_link_check_at = state.now();
     let mut last = state.now();
-    let mut keeper = Keeper {
+    let mut keeper = LinkKeeper {
         state: Arc::clone(&state),
         informed: BTreeMap::new(),
         wanted: WantedLinks::default(),
         is_hub: false,
-        is_relayed: false,
+        follows_relay: false,
     };
     loop {
-        state.clock.sleep(NEWS_MS).await;
+        state.clock.sleep(NEWS_INTERVAL_MS).await;
         let now = state.now();
-        notice_pause(&state, now, last);
+        detect_pause(&state, now, last);
         last = now;
-        if now >= next_tick {
-            next_tick = now + TICK_MS;
+        if now >= next_tick_at {
+            next_tick_at = now + TICK_INTERVAL_MS;
             keeper.tick(now);
         }
-        if state.is_starting() && now >= next_look {
-            next_look = now + STARTING_LOOK_MS;
-            keeper.look_for_links(now);
+        if state.is_starting() && now >= next_link_check_at {
+            next_link_check_at = now + STARTING_LINK_CHECK_INTERVAL_MS;
+            keeper.update_links(now);
         }
-        keeper.tell_news();
-        keeper.pass_on(now);
-        keeper.tell_roster(now);
-        if now >= next_beat || state.serving().is_heartbeat_due() {
-            keeper.beat(now);
-            next_beat = now + state.serving().heartbeat_interval_ms();
+        keeper.send_news();
+        keeper.send_relay_updates(now);
+        keeper.send_due_roster(now);
+        if now >= next_heartbeat_at || state.serving().is_heartbeat_due() {
+            keeper.send_heartbeat(now);
+            next_heartbeat_at = now + state.serving().heartbeat_interval_ms();
         }
     }
 }
 
-fn notice_pause(state: &EntryState, now: MonoMs, last: MonoMs) {
+fn detect_pause(state: &EntryState, now: MonoMs, last: MonoMs) {
     let paused_ms = now.since(last);
-    if paused_ms > PAUSE_MS {
+    if paused_ms > MIN_PROCESS_PAUSE_MS {
         state.serving().on_process_resumed(now);
-        state.log(&Decision::Woke { paused_ms });
+        state.log(&Decision::ProcessResumed { paused_ms });
     }
 }
 
-impl Keeper {
-    /// Opens links that are missing, and tells peers to which there is one by now what is at work.
-    fn look_for_links(&mut self, now: MonoMs) {
+impl LinkKeeper {
+    /// Opens missing links, and sends running prompts to the deciders that are linked by now.
+    fn update_links(&mut self, now: MonoMs) {
         self.wanted = self.state.serving().wanted_links(now);
         let linked = self.open_missing(now);
-        self.inform(now, &linked);
+        self.send_job_snapshots(now, &linked);
     }
 
     fn tick(&mut self, now: MonoMs) {
@@ -95,20 +95,20 @@
         serving.tick(now);
         let roster = serving.roster_news(now);
         let (is_hub, peers) = (serving.is_hub(), serving.live_peer_count(now));
-        let duty = serving.store_role(now);
+        let role = serving.store_role(now);
         drop(serving);
         if std::mem::replace(&mut self.is_hub, is_hub) != is_hub {
             state.log(&Decision::Hub { is_hub, peers });
         }
-        state.pool.forget_old(now);
-        self.note_duty(duty);
-        self.tell_all(roster);
-        self.look_for_links(now);
-        self.ask_for_missing(now);
+        state.pool.evict_expired(now);
+        self.log_store_role(role);
+        self.broadcast_roster(roster);
+        self.update_links(now);
+        self.request_missing_state(now);
     }
 
-    /// Closes links that aren't wanted any more and opens those that are missing. Returns the peers
-    /// to which there was one before.
+    /// Closes links that are no longer needed and opens missing ones. Returns the peers that were linked
+    /// before.
     fn open_missing(&self, now: MonoMs) -> HashSet<SocketAddr> {
         let state = &self.state;
         let wanted = |address: &SocketAddr| {
@@ -116,22 +116,22 @@
         };
         let linked = state.links.retain(wanted);
         let own = self.wanted.own.iter().map(|address| (*address, true));
-        let asked = self
+        let requested = self
             .wanted
             .requested
             .iter()
             .map(|address| (*address, false));
-        for (address, asks_for_link) in own.chain(asked) {
+        for (address, requests_link) in own.chain(requested) {
             if let Some(queue) = state.links.open(address) {
-                let first = state.serving().greeting(now, address, asks_for_link);
+                let first = state.serving().greeting(now, address, requests_link);
                 task::spawn(keep_link(Arc::clone(state), address, first, queue));
             }
         }
         linked
     }
 
-    /// Tells those that are to know of prompts, and didn't so far, what is at work.
-    fn inform(&mut self, now: MonoMs, linked: &HashSet<SocketAddr>) {
+    /// Sends the running prompts to deciders that don't have them yet.
+    fn send_job_snapshots(&mut self, now: MonoMs, linked: &HashSet<SocketAddr>) {
         let mut wanted = self.state.serving().informed_deciders();
         wanted.retain(|address, _| linked.contains(address));
         for (address, groups) in &wanted {
@@ -143,14 +143,14 @@
         self.informed = wanted;
     }
 
-    fn ask_for_missing(&self, now: MonoMs) {
-        let wants = self.state.serving().catch_up_request(now);
-        if let Some((peers, frame)) = wants {
+    fn request_missing_state(&self, now: MonoMs) {
+        let request = self.state.serving().catch_up_request(now);
+        if let Some((peers, frame)) = request {
             self.state.send(&peers, &frame);
         }
     }
 
-    fn tell_roster(&self, now: MonoMs) {
+    fn send_due_roster(&self, now: MonoMs) {
         let roster = {
             let mut serving = self.state.serving();
             serving
@@ -158,16 +158,16 @@
                 .then(|| serving.roster_news(now))
                 .flatten()
         };
-        self.tell_all(roster);
+        self.broadcast_roster(roster);
     }
 
-    fn tell_all(&self, roster: Option<Frame>) {
+    fn broadcast_roster(&self, roster: Option<Frame>) {
         if let Some(roster) = roster {
             self.state.send_to_all(&roster);
         }
     }
 
-    fn tell_news(&self) {
+    fn send_news(&self) {
         let news = self.state.serving().take_news();
         for (recipients, frame) in news {
             match recipients {
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Passes on what is published to those that go by this instance.
-    fn pass_on(&self, now: MonoMs) {
+    /// Sends changes of the published state to the followers of this instance.
+    fn send_relay_updates(&self, now: MonoMs) {
         let state = &self.state;
         if !state.serving().has_followers() {
             return;
@@ -186,17 +186,19 @@
         let is_linked = |to: &SocketAddr| state.links.has(*to);
         let news = state.serving().relay_news(now, is_linked);
         for (to, frame) in news {
-            state.metrics.note_passed_on(frame.targets.len() * to.len());
+            state
+                .metrics
+                .record_relayed_changes(frame.targets.len() * to.len());
             state.send(&to, &frame);
         }
     }
 
-    /// Logs when this instance begins or ceases to go by a relay.
-    fn note_duty(&mut self, duty: StoreRole) {
+    /// Logs when this instance begins or ceases to follow a relay, and records the relay's age.
+    fn log_store_role(&mut self, role: StoreRole) {
         let state = &self.state;
-        let line = match duty {
+        let line = match role {
             StoreRole::Follow(relay) => {
-                state.metrics.note_knowledge_age(relay.age_ms);
+                state.metrics.record_knowledge_age(relay.age_ms);
                 Decision::Relayed {
                     relay: relay.address.to_string(),
                     revision: relay.revision,
@@ -204,39 +206,39 @@
                 }
             }
             StoreRole::Watch | StoreRole::StandIn { .. } => Decision::RelayLost {
-                duty: duty.name(),
+                role: role.name(),
                 known_to: state.serving().known_to(),
             },
         };
-        let is_relayed = matches!(duty, StoreRole::Follow(_));
-        if std::mem::replace(&mut self.is_relayed, is_relayed) != is_relayed {
+        let follows_relay = matches!(role, StoreRole::Follow(_));
+        if std::mem::replace(&mut self.follows_relay, follows_relay) != follows_relay {
             state.log(&line);
         }
     }
 
-    /// Sends a heartbeat over all links; to those that this instance wants itself, it says so, and to its
-    /// relays what it knows.
-    fn beat(&self, now: MonoMs) {
+    /// Sends a heartbeat over all links. Peers whose link this instance needs itself get `requests_link` set,
+    /// and its relays also a follow request with the revision that it knows.
+    fn send_heartbeat(&self, now: MonoMs) {
         let mut heartbeat = self.state.serving().heartbeat(now);
-        let asked: Vec<SocketAddr> = self.wanted.requested.iter().copied().collect();
-        self.state.send(&asked, &heartbeat);
-        let Some(beat) = heartbeat.heartbeat else {
+        let requested: Vec<SocketAddr> = self.wanted.requested.iter().copied().collect();
+        self.state.send(&requested, &heartbeat);
+        let Some(fields) = heartbeat.heartbeat else {
             return;
         };
         let follows = self.state.serving().follow_requests(now);
         let mut own: Vec<SocketAddr> = self.wanted.own.iter().copied().collect();
         own.retain(|address| follows.iter().all(|(relay, _)| relay != address));
-        let beat = HeartbeatFrame {
+        let fields = HeartbeatFrame {
             requests_link: true,
-            ..beat
+            ..fields
         };
-        heartbeat.heartbeat = Some(beat);
+        heartbeat.heartbeat = Some(fields);
         self.state.send(&own, &heartbeat);
         for (relay, follow) in follows {
-            let follows = Some(follow);
+            let follow_request = Some(follow);
             heartbeat.heartbeat = Some(HeartbeatFrame {
-                follow_request: follows,
-                ..beat
+                follow_request,
+                ..fields
             });
             self.state.send(&[relay], &heartbeat);
         }
--- a/crates/daemon/src/entry/links/outgoing.rs
+++ b/crates/daemon/src/entry/links/outgoing.rs
@@ -1,4 +1,4 @@
-//! A link that this instance opens, and on which it sends.
+//! Opens a link to a peer and sends frames on it.
 
 use {
     super::encode_frame,
@@ -17,48 +17,48 @@
     whinlatch_serving::fleet::Frame,
 };
 
-/// Time for a link to open, in ms.
-const OPEN_MS: u64 = 800;
-/// The same while an instance starts, in ms: some fifty crossings of the network.
+/// Timeout for opening a link, in ms.
+const OPEN_TIMEOUT_MS: u64 = 800;
+/// The same while an instance starts, in ms: some fifty network crossings.
 ///
-/// Guards against peers that start at the same moment: what is sent to one that isn't up yet is
-/// dropped, and sent again only after a second. Instances that all started anew learnt of each other
-/// 1.3 s later, and of 66 prompts of the first quarter of a second 44 began late; with this, 15.
-const STARTING_OPEN_MS: u64 = 150;
-/// Time for a peer to take a frame, in ms.
-const SEND_MS: u64 = 1_000;
-/// Time that a frame may stay without an acknowledgement: a link that went silent is given up
-/// while the peer still counts as heard of by most.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(1);
-/// Time between two tries to open a link, in ms.
-const REOPEN_MS: u64 = 300;
+/// Guards against peers that start at the same time: a packet to a peer that isn't up yet is dropped and
+/// retransmitted only after a second. With the usual timeout, instances that had all restarted discovered each
+/// other 1.3 s later, and 44 of 66 prompts of the first 250 ms began late; with this one, 15.
+const STARTING_OPEN_TIMEOUT_MS: u64 = 150;
+/// Timeout for sending a frame, in ms.
+const SEND_TIMEOUT_MS: u64 = 1_000;
+/// Time that a frame may stay unacknowledged: a silent link is closed while most instances still count
+/// the peer as live.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a link may be opened again, in ms.
+const REOPEN_DELAY_MS: u64 = 300;
 /// The same while an instance starts, in ms.
-const STARTING_REOPEN_MS: u64 = 50;
+const STARTING_REOPEN_DELAY_MS: u64 = 50;
 
-/// How links are opened.
+/// Timeout and retry delay for opening links, which are shorter while an instance starts.
 #[derive(Debug, Clone, Copy)]
-struct OpenRule {
-    open_ms: u64,
-    reopen_ms: u64,
+struct OpenTimes {
+    open_timeout_ms: u64,
+    reopen_delay_ms: u64,
 }
 
-impl OpenRule {
+impl OpenTimes {
     fn of(state: &EntryState) -> Self {
         if state.is_starting() {
             return Self {
-                open_ms: STARTING_OPEN_MS,
-                reopen_ms: STARTING_REOPEN_MS,
+                open_timeout_ms: STARTING_OPEN_TIMEOUT_MS,
+                reopen_delay_ms: STARTING_REOPEN_DELAY_MS,
             };
         }
         Self {
-            open_ms: OPEN_MS,
-            reopen_ms: REOPEN_MS,
+            open_timeout_ms: OPEN_TIMEOUT_MS,
+            reopen_delay_ms: REOPEN_DELAY_MS,
         }
     }
 }
 
-/// Opens a link and sends on it until it breaks or isn't wanted any more. The end of the queue's
-/// receiver tells that it may be opened anew.
+/// Opens a link and sends on it until it breaks or is no longer needed. Dropping the queue's receiver at
+/// the end allows the link to be opened again.
 pub async fn keep_link(
     state: Arc<EntryState>,
     address: SocketAddr,
@@ -66,20 +66,20 @@
     queue: Receiver<Bytes>,
 ) {
     let clock = state.clock.as_ref();
-    let rule = OpenRule::of(&state);
-    let opened = timeout(clock, rule.open_ms, open(&state, address)).await;
+    let times = OpenTimes::of(&state);
+    let opened = timeout(clock, times.open_timeout_ms, open(&state, address)).await;
     let Some(Ok(mut socket)) = opened else {
         state.serving().on_link_lost(state.now(), address);
-        clock.sleep(rule.reopen_ms).await;
+        clock.sleep(times.reopen_delay_ms).await;
         return;
     };
     let peer = address.to_string();
-    state.metrics.note_linked();
+    state.metrics.record_link_opened();
     state.log(&Decision::PeerLinked { peer: peer.clone() });
     let fault = send_all(&state, &mut socket, first, &queue).await;
-    state.metrics.note_unlinked();
+    state.metrics.record_link_closed();
     let fault = match fault {
-        None => "the link isn't wanted any more".to_owned(),
+        None => "the link is no longer needed".to_owned(),
         Some(fault) => {
             state.serving().on_link_lost(state.now(), address);
             fault
@@ -87,7 +87,7 @@
     };
     state.log(&Decision::PeerLost { peer, fault });
     queue.close();
-    clock.sleep(rule.reopen_ms).await;
+    clock.sleep(times.reopen_delay_ms).await;
 }
 
 async fn open(
@@ -95,7 +95,7 @@
     address: SocketAddr,
 ) -> Result<WebSocketStream<GuardedStream>, String> {
     let clock = state.clock.as_ref();
-    let stream = connect_within(clock, address, OPEN_MS, UNACKNOWLEDGED)
+    let stream = connect_within(clock, address, OPEN_TIMEOUT_MS, UNACKNOWLEDGED_TIMEOUT)
         .await
         .map_err(|fault| fault.to_string())?;
     let url = format!("ws://{address}/");
@@ -105,7 +105,8 @@
         .map_err(|fault| fault.to_string())
 }
 
-/// Sends until the link breaks, and returns why, or isn't wanted any more.
+/// Sends `first` and the queued frames. Returns the error if the link breaks, `None` once it is no longer
+/// needed.
 async fn send_all(
     state: &EntryState,
     socket: &mut WebSocketStream<GuardedStream>,
@@ -118,10 +119,10 @@
     };
     while let Some(bytes) = next {
         let sent = socket.send(Message::Binary(bytes));
-        match timeout(state.clock.as_ref(), SEND_MS, sent).await {
+        match timeout(state.clock.as_ref(), SEND_TIMEOUT_MS, sent).await {
             Some(Ok(())) => {}
             Some(Err(fault)) => return Some(fault.to_string()),
-            None => return Some("the peer takes nothing".to_owned()),
+            None => return Some("the peer doesn't read from the link".to_owned()),
         }
         next = queue.recv().await.ok();
     }
--- a/crates/daemon/src/entry/links/peer_links.rs
+++ b/crates/daemon/src/entry/links/peer_links.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        awaiting::Awaiting,
         frame_codec::{EncodeFault, encode_frame},
+        pending_requests::PendingRequests,
     },
     async_channel::{Receiver, Sender, TrySendError},
     async_tungstenite::tungstenite::Bytes,
@@ -16,44 +16,44 @@
     },
 };
 
-/// Frames that may wait for a slow peer; the link is opened anew when there are more.
-const WAITING_FRAMES: usize = 256;
+/// Frames queued for a slow peer; when there are more, the link is closed and opened again.
+const MAX_QUEUED_FRAMES: usize = 256;
 
-/// The open links to peers, and the answers that are awaited from them.
+/// Outgoing links to peers, and the requests that wait for their responses.
 #[derive(Debug, Default)]
 pub struct PeerLinks {
     links: Mutex<HashMap<SocketAddr, Sender<Bytes>>>,
-    /// Placements that peers were asked for.
-    pub placements: Awaiting<JobId, PlacementResponse>,
-    /// Permits that peers were asked for, by the number of the ask.
-    pub permits: Awaiting<u64, PermitResponse>,
+    /// Placement requests to peers.
+    pub placements: PendingRequests<JobId, PlacementResponse>,
+    /// Permit requests to peers, by their number.
+    pub permits: PendingRequests<u64, PermitResponse>,
 }
 
 impl PeerLinks {
-    /// Notes a link that is being opened, unless there is one. Returns the queue of its frames.
+    /// Registers a link that is to be opened, and returns its queue of frames; `None` if there is one already.
     pub fn open(&self, address: SocketAddr) -> Option<Receiver<Bytes>> {
         let mut links = lock(&self.links);
         if links.contains_key(&address) {
             return None;
         }
-        let (frames, queue) = async_channel::bounded(WAITING_FRAMES);
+        let (frames, queue) = async_channel::bounded(MAX_QUEUED_FRAMES);
         links.insert(address, frames);
         Some(queue)
     }
 
-    /// Forgets links that broke or aren't wanted any more. Returns the addresses of those left.
+    /// Removes links that broke or aren't `wanted`. Returns the addresses of the others.
     pub fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) -> HashSet<SocketAddr> {
         let mut links = lock(&self.links);
         links.retain(|address, frames| wanted(address) && !frames.is_closed());
         links.keys().copied().collect()
     }
 
-    /// Whether there is a link to a peer, or one is being opened; what is sent there waits for it.
+    /// Whether a link to a peer is open or being opened; frames are queued until it is open.
     pub fn has(&self, address: SocketAddr) -> bool {
         lock(&self.links).contains_key(&address)
     }
 
-    /// Sends a frame over some links.
+    /// Queues a frame on the links to the given peers; peers without a link are skipped.
     ///
     /// # Errors
     /// [`EncodeFault`].
@@ -61,29 +61,30 @@
         let bytes = encode_frame(frame)?;
         let mut links = lock(&self.links);
         for address in to {
-            let is_full = links
+            let overflows = links
                 .get(address)
-                .is_some_and(|frames| is_full(frames, &bytes));
-            if is_full {
-                // It is opened anew, and begins with all that the peer needs.
+                .is_some_and(|frames| enqueue_overflows(frames, &bytes));
+            if overflows {
+                // It is opened again, and begins with the state that the peer needs.
                 links.remove(address);
             }
         }
         Ok(())
     }
 
-    /// Sends a frame over all links.
+    /// Queues a frame on all links.
     ///
     /// # Errors
     /// [`EncodeFault`].
     pub fn send_to_all(&self, frame: &Frame) -> Result<(), EncodeFault> {
         let bytes = encode_frame(frame)?;
-        lock(&self.links).retain(|_, frames| !is_full(frames, &bytes));
+        lock(&self.links).retain(|_, frames| !enqueue_overflows(frames, &bytes));
         Ok(())
     }
 }
 
-fn is_full(frames: &Sender<Bytes>, bytes: &Bytes) -> bool {
+/// Queues a frame. Returns whether the queue was full, in which case the frame is dropped.
+fn enqueue_overflows(frames: &Sender<Bytes>, bytes: &Bytes) -> bool {
     matches!(frames.try_send(bytes.clone()), Err(TrySendError::Full(_)))
 }
 
--- a/crates/daemon/src/entry/memory_hold.rs
+++ b/crates/daemon/src/entry/memory_hold.rs
@@ -4,32 +4,32 @@
     whinlatch_serving::targets::TargetEntry,
 };
 
-/// Memory that is set aside at one engine.
+/// Memory reserved at one engine.
 #[derive(Debug)]
 pub struct MemoryHold {
-    /// The engine.
+    /// The engine, as of the placement; a restart since can be told by it.
     pub engine: TargetEntry,
-    /// Tokens that fit into it.
+    /// Size of the reservation, in tokens.
     pub tokens: u64,
     ordered_at_ms: AtomicU64,
-    lapses_at_ms: AtomicU64,
+    expires_at_ms: AtomicU64,
 }
 
 impl MemoryHold {
-    /// Memory that hasn't been ordered yet.
+    /// Creates a reservation that hasn't been ordered yet.
     pub fn new(engine: &TargetEntry, tokens: u64) -> Self {
         Self {
             engine: engine.clone(),
             tokens,
             ordered_at_ms: AtomicU64::new(0),
-            lapses_at_ms: AtomicU64::new(0),
+            expires_at_ms: AtomicU64::new(0),
         }
     }
 
-    /// Notes the order to set it aside for so long.
-    pub fn note_order(&self, now: MonoMs, hold_ms: u64) {
+    /// Records an order that reserves the memory for `hold_ms`.
+    pub fn record_order(&self, now: MonoMs, hold_ms: u64) {
         self.ordered_at_ms.store(now.0, Ordering::Relaxed);
-        self.lapses_at_ms.store(now.0 + hold_ms, Ordering::Relaxed);
+        self.expires_at_ms.store(now.0 + hold_ms, Ordering::Relaxed);
     }
 
     /// Time since the last order, in ms.
@@ -37,8 +37,8 @@
         now.since(MonoMs(self.ordered_at_ms.load(Ordering::Relaxed)))
     }
 
-    /// When it lapses, by the last order.
-    pub fn lapses_at(&self) -> MonoMs {
-        MonoMs(self.lapses_at_ms.load(Ordering::Relaxed))
+    /// Returns when the reservation expires after the last order.
+    pub fn expires_at(&self) -> MonoMs {
+        MonoMs(self.expires_at_ms.load(Ordering::Relaxed))
     }
 }
--- a/crates/daemon/src/entry/own_call.rs
+++ b/crates/daemon/src/entry/own_call.rs
@@ -1,46 +1,46 @@
-//! Calls of this system's own at a target, which no caller has asked for: reports and orders.
+//! Calls that this instance makes to a target itself, not for a caller: reports and orders.
 
 use {
     super::{
         attempt::{AttemptFault, connection},
         entry_state::EntryState,
         http::ResponseHead,
-        permits::{is_permitted, note_sent_anyway},
+        permits::{is_permitted, note_unpermitted_send},
     },
     std::fmt::Write,
     whinlatch_platform::TargetAnswer,
     whinlatch_serving::targets::TargetEntry,
 };
 
-/// What a target is asked.
+/// A call to a target.
 #[derive(Debug, Clone, Copy)]
 pub enum OwnCall<'a> {
-    /// A question at a path.
-    Ask(&'a str),
-    /// An order in JSON at a path.
+    /// GET of a path.
+    Query(&'a str),
+    /// POST of a JSON body to a path.
     Order(&'a str, &'a [u8]),
 }
 
-/// What becomes of a call where its target has a limit and takes nothing now.
+/// Handling of a call while its target's limit is used up or the target asked for a pause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Need {
-    /// It isn't made.
-    Wanted,
-    /// It is made, and counts towards the limit.
-    Due,
+    /// The call isn't made.
+    Optional,
+    /// The call is made, and counts towards the limit.
+    Required,
 }
 
 impl<'a> OwnCall<'a> {
     fn method(self) -> &'static str {
         match self {
-            Self::Ask(_) => "GET",
+            Self::Query(_) => "GET",
             Self::Order(..) => "POST",
         }
     }
 
     fn path(self) -> &'a str {
         match self {
-            Self::Ask(path) | Self::Order(path, _) => path,
+            Self::Query(path) | Self::Order(path, _) => path,
         }
     }
 
@@ -48,9 +48,9 @@
         let (method, path, address) = (self.method(), self.path(), target.address);
         let mut text = format!("{method} {path} HTTP/1.1\r\nHost: {address}\r\n");
         let body: &[u8] = match self {
-            Self::Ask(_) => &[],
+            Self::Query(_) => &[],
             Self::Order(_, body) => {
-                // Writing to a string never fails.
+                // Writing to a String can't fail.
                 let _written = write!(
                     text,
                     "Content-Type: application/json\r\nContent-Length: {}\r\n",
@@ -64,8 +64,8 @@
     }
 }
 
-/// Makes a call, which counts towards a limit of its target. Returns the head and body of the answer, whatever
-/// the status.
+/// Makes a call, which counts towards the limit of its target. Returns the head and body of the answer,
+/// also for an error status.
 ///
 /// # Errors
 /// [`AttemptFault`].
@@ -76,21 +76,21 @@
     need: Need,
 ) -> Result<(ResponseHead, Vec<u8>), AttemptFault> {
     match need {
-        Need::Due => note_sent_anyway(state, &target.id),
-        Need::Wanted if is_permitted(state, &target.id).await => {}
-        Need::Wanted => return Err(AttemptFault::NotPermitted),
+        Need::Required => note_unpermitted_send(state, &target.id),
+        Need::Optional if is_permitted(state, &target.id).await => {}
+        Need::Optional => return Err(AttemptFault::NotPermitted),
     }
     let mut connection = connection(state, target).await?;
     let sent_at = state.now();
     let request = call.request(target);
     let (head, body) = connection.exchange(call.method(), &request).await?;
     let answer = TargetAnswer::read(head.status, head.pairs());
-    state.note_answer(sent_at, &target.id, &answer.notice);
-    if head.is_kept {
+    state.apply_notice(sent_at, &target.id, &answer.notice);
+    if head.keeps_alive {
         let now = state.now();
         state
             .pool
-            .put(now, target.address, connection, head.keep_ms);
+            .put(now, target.address, connection, head.keep_alive_ms);
     }
     Ok((head, body))
 }
--- a/crates/daemon/src/entry/permits.rs
+++ b/crates/daemon/src/entry/permits.rs
@@ -1,4 +1,4 @@
-//! Permission to send to targets that name a limit, of the instance that grants it for all.
+//! Permission to send to targets with a limit, granted by the instance that holds the quota for all.
 
 use {
     super::{decision_line::Decision, entry_state::EntryState},
@@ -11,11 +11,12 @@
     },
 };
 
-/// Time for the answer to an ask, in ms: two crossings of the network, and what a small instance needs to come
-/// to it.
-const PERMIT_MS: u64 = 40;
+/// Timeout for the answer to a permit request, in ms: two network crossings, and the time until a small
+/// instance gets to it.
+const PERMIT_TIMEOUT_MS: u64 = 40;
 
-/// Whether a request may be sent to a target now.
+/// Whether a request may be sent to a target now. Asks the holder of the quota if necessary, and logs a
+/// refusal.
 pub async fn is_permitted(state: &EntryState, target: &TargetId) -> bool {
     let permission = state.serving().request_permission(state.now(), target);
     let asked = match permission {
@@ -49,22 +50,26 @@
 async fn ask_holder(
     state: &EntryState,
     holder: SocketAddr,
-    ask: &PermitRequest,
+    request: &PermitRequest,
 ) -> Option<PermitResponse> {
-    let awaited = state.links.permits.begin(ask.number);
+    let awaited = state.links.permits.begin(request.number);
     let frame = Frame {
-        permit_request: Some(ask.clone()),
+        permit_request: Some(request.clone()),
         ..Frame::default()
     };
     state.send(&[holder], &frame);
-    let answered = timeout(state.clock.as_ref(), PERMIT_MS, awaited.answer.recv());
+    let answered = timeout(
+        state.clock.as_ref(),
+        PERMIT_TIMEOUT_MS,
+        awaited.answer.recv(),
+    );
     answered.await?.ok()
 }
 
-/// Has a call that is made in any case count towards the limit of its target.
-pub fn note_sent_anyway(state: &EntryState, target: &TargetId) {
-    let told = state.serving().note_unpermitted_send(state.now(), target);
-    if let Some((holder, frame)) = told {
+/// Counts a call that is made without permission towards the limit of its target.
+pub fn note_unpermitted_send(state: &EntryState, target: &TargetId) {
+    let news = state.serving().note_unpermitted_send(state.now(), target);
+    if let Some((holder, frame)) = news {
         state.send(&[holder], &frame);
     }
 }
--- a/crates/daemon/src/entry/placing.rs
+++ b/crates/daemon/src/entry/placing.rs
@@ -1,4 +1,4 @@
-//! Where the engines for a prompt are chosen: here, or by a peer that is told of all prompts.
+//! Chooses the engines for a prompt: by a decider, a peer that knows of all prompts, or locally.
 
 use {
     super::{entry_state::EntryState, job_guard::JobGuard, permits::is_permitted},
@@ -10,98 +10,99 @@
     },
 };
 
-/// Time for a peer to choose, in ms: two crossings of the network, and what a small instance needs
-/// to come to it. After two of them the prompt still has most of its time.
-const CHOICE_MS: u64 = 40;
-/// Peers that are asked, one after the other, before this instance chooses by what it knows.
-const ASKED: usize = 2;
+/// Timeout for a peer's decision, in ms: two network crossings, and the time until a small instance gets
+/// to it. After two timeouts the prompt still has most of its time.
+const PLACEMENT_TIMEOUT_MS: u64 = 40;
+/// Peers that are asked one after the other before this instance chooses from its own knowledge.
+const MAX_ASKED_PEERS: usize = 2;
 
-/// Finds engines for a prompt that it may be sent to, and counts it as sent there until the guard is dropped.
+/// Chooses engines that permit a prompt, and counts it towards their load until the guard is dropped.
 ///
 /// # Errors
 /// A [`Refusal`]; the prompt has not been sent.
-pub async fn place(
+pub async fn place_prompt(
     state: &EntryState,
-    mut ask: PromptRequest,
+    mut request: PromptRequest,
 ) -> Result<(PromptPlacement, JobGuard<'_>), Refusal> {
     loop {
         let closed = state.serving().closed_targets(state.now());
-        ask.excluded.extend(closed);
-        let (place, guard) = match choose(state, &ask).await {
+        request.excluded.extend(closed);
+        let (placement, guard) = match choose_engines(state, &request).await {
             Ok(chosen) => chosen,
-            // Whoever chose was told to leave out what is closed to this instance.
+            // The excluded targets include those closed to this instance, which may be why none was left.
             Err(Refusal::NoTarget) => {
                 return Err(state
                     .serving()
-                    .refusal_for_closed_targets(state.now(), &ask.service));
+                    .refusal_for_closed_targets(state.now(), &request.service));
             }
             Err(refusal) => return Err(refusal),
         };
-        if is_permitted(state, &place.engine.id).await {
-            return Ok((place, guard));
+        if is_permitted(state, &placement.engine.id).await {
+            return Ok((placement, guard));
         }
-        // The budget has let this repeat through.
-        ask.is_repeat = false;
+        // The retry budget has already been charged for this retry.
+        request.is_repeat = false;
     }
 }
 
-/// Finds engines for a prompt and counts it as sent there until the guard is dropped.
+/// Chooses engines for a prompt and counts it towards their load until the guard is dropped.
 ///
-/// The guard exists before a peer is asked: a caller that leaves meanwhile would leave a prompt
-/// behind at the peer that nobody ever tells the end of.
-async fn choose<'a>(
+/// The guard is created before a peer is asked. Otherwise, if the caller disconnected while the peer
+/// decides, the peer would count the prompt forever, since nobody would report its end.
+async fn choose_engines<'a>(
     state: &'a EntryState,
-    ask: &PromptRequest,
+    request: &PromptRequest,
 ) -> Result<(PromptPlacement, JobGuard<'a>), Refusal> {
     let (job, groups) = {
         let mut serving = state.serving();
         (
-            serving.admit_prompt(state.now(), ask)?,
+            serving.admit_prompt(state.now(), request)?,
             serving.groups_to_try(),
         )
     };
     let guard = JobGuard::new(state, job);
     let mut refusal = Refusal::NoTarget;
     for group in groups {
-        match find(state, job, group, ask).await {
-            Ok(place) => return Ok((place, guard)),
+        match place_in_group(state, job, group, request).await {
+            Ok(placement) => return Ok((placement, guard)),
             Err(fault) => refusal = fault,
         }
     }
     Err(refusal)
 }
 
-async fn find(
+/// Chooses engines of one group, by its deciders or locally.
+async fn place_in_group(
     state: &EntryState,
     job: JobId,
     group: EngineGroup,
-    ask: &PromptRequest,
+    request: &PromptRequest,
 ) -> Result<PromptPlacement, Refusal> {
     let deciders = state.serving().deciders(group);
-    for peer in deciders.into_iter().take(ASKED) {
-        let Some(placement) = ask_peer(state, peer, job, group, ask).await else {
+    for peer in deciders.into_iter().take(MAX_ASKED_PEERS) {
+        let Some(decision) = request_placement(state, peer, job, group, request).await else {
             continue;
         };
-        if let Some(place) = state.serving().accept_placement(state.now(), &placement?) {
-            return Ok(place);
+        if let Some(placement) = state.serving().accept_placement(state.now(), &decision?) {
+            return Ok(placement);
         }
         break;
     }
     let now = state.now();
     let mut serving = state.serving();
-    let placement = serving.choose_engines(now, job, group, ask)?;
+    let decision = serving.choose_engines(now, job, group, request)?;
     serving
-        .accept_placement(now, &placement)
+        .accept_placement(now, &decision)
         .ok_or(Refusal::NoTarget)
 }
 
-/// Asks a peer. `None` if it doesn't answer in time: it is gone, or has no time itself.
-async fn ask_peer(
+/// Asks a peer to choose. `None` if it doesn't answer in time, since it is gone or overloaded.
+async fn request_placement(
     state: &EntryState,
     peer: SocketAddr,
     job: JobId,
     group: EngineGroup,
-    ask: &PromptRequest,
+    request: &PromptRequest,
 ) -> Option<Result<Placement, Refusal>> {
     let awaited = state.links.placements.begin(job);
     state.serving().record_placement_request(job, group);
@@ -110,11 +111,15 @@
             job,
             reply_to: state.settings.peer_address,
             group,
-            prompt: ask.clone(),
+            prompt: request.clone(),
         }),
         ..Frame::default()
     };
     state.send(&[peer], &frame);
-    let answered = timeout(state.clock.as_ref(), CHOICE_MS, awaited.answer.recv());
+    let answered = timeout(
+        state.clock.as_ref(),
+        PLACEMENT_TIMEOUT_MS,
+        awaited.answer.recv(),
+    );
     Some(answered.await?.ok()?.placement)
 }
--- a/crates/daemon/src/entry/answers_whole.rs
+++ b/crates/daemon/src/entry/plain_calls.rs
@@ -1,12 +1,13 @@
-//! Calls of plain services: the answer is taken whole before any of it is passed on.
+//! Calls of plain services. An answer is read completely before any of it is passed on, so that a broken one
+//! can still be replaced by another target's.
 
 use {
     super::{
-        answers::{CallerAnswer, PROMISES},
-        attempt::{AttemptFault, NotRun, ask, connection, note_crash},
+        answers::{CallerAnswer, NOT_RUN_STATUSES},
+        attempt::{AttemptFault, NotRun, connection, record_crash, send_request},
         decision_line::Decision,
         entry_state::EntryState,
-        exchange::Ended,
+        exchange::RequestEnd,
         http::ResponseHead,
         permits::is_permitted,
         request_context::RequestContext,
@@ -17,17 +18,17 @@
     whinlatch_serving::{CallRequest, Refusal, names::TargetId, targets::TargetEntry},
 };
 
-/// Targets that are asked for a connection before the request is given up.
-const MOST_TARGETS: usize = 4;
+/// Targets that are tried before the request fails.
+const MAX_TARGETS: usize = 4;
 
-/// A target's whole answer.
+/// Complete answer of a target.
 #[derive(Debug)]
 struct WholeAnswer {
     head: ResponseHead,
     body: Vec<u8>,
 }
 
-/// Counts a call as sent to a target until it is dropped.
+/// Counts a call towards its target's load until dropped, also when the call is cancelled.
 #[derive(Debug)]
 struct CallGuard<'a> {
     state: &'a EntryState,
@@ -46,23 +47,23 @@
     }
 }
 
-/// Serves a call.
+/// Serves a call: tries targets until one answers or the attempts are used up.
 pub async fn serve_call(
     state: &EntryState,
     context: &RequestContext,
     answer: &CallerAnswer<'_>,
-) -> Ended {
+) -> RequestEnd {
     let mut tried: Vec<TargetId> = Vec::new();
     let mut runs = 0;
     let mut failure: Option<WholeAnswer> = None;
     loop {
-        let ask = CallRequest {
+        let request = CallRequest {
             service: &context.service,
             fingerprint: context.fingerprint,
             tried: &tried,
             is_repeat: answer.progress().sends > 0,
         };
-        let target = match place(state, ask).await {
+        let target = match place_call(state, request).await {
             Ok(target) => target,
             Err(refusal) => return give_up(state, context, answer, refusal, failure).await,
         };
@@ -78,10 +79,10 @@
             }
             Err(fault) => {
                 runs += u32::from(fault.may_have_run());
-                note_failed(state, context, &target, &fault);
+                record_failed_attempt(state, context, &target, &fault);
                 if fault.may_have_run() && !context.route.retry_policy.is_idempotent() {
                     let reason = fault.to_string();
-                    return Ended::own(answer, 502, &reason, None).await;
+                    return RequestEnd::error(answer, 502, &reason, None).await;
                 }
                 if !fault.may_have_run() {
                     answer.set_may_have_run(runs > 0);
@@ -90,23 +91,26 @@
         }
         if runs >= context.route.max_attempts
             || answer.progress().sends > context.route.max_attempts
-            || tried.len() >= MOST_TARGETS
+            || tried.len() >= MAX_TARGETS
         {
             return give_up(state, context, answer, Refusal::NoTarget, failure).await;
         }
     }
 }
 
-/// Chooses a target to which the call may be sent, and counts it as sent there.
-async fn place(state: &EntryState, mut ask: CallRequest<'_>) -> Result<TargetEntry, Refusal> {
+/// Chooses a target that permits the call, and counts the call towards its load.
+async fn place_call(
+    state: &EntryState,
+    mut request: CallRequest<'_>,
+) -> Result<TargetEntry, Refusal> {
     loop {
-        let target = state.serving().place_call(state.now(), &ask)?.target;
+        let target = state.serving().place_call(state.now(), &request)?.target;
         if is_permitted(state, &target.id).await {
             return Ok(target);
         }
         state.serving().record_call_withdrawn(&target.id);
-        // The budget has let this repeat through.
-        ask.is_repeat = false;
+        // The retry budget has already been charged for this retry.
+        request.is_repeat = false;
     }
 }
 
@@ -143,14 +147,14 @@
         slack_ms: context.due.since(now).cast_signed(),
         pause_limit_ms: None,
         fingerprint: context.fingerprint_text(),
-        attempt: answer.note_sent(),
-        weighed: None,
+        attempt: answer.record_send(),
+        inputs: None,
     });
     answer.set_may_have_run(true);
     let whole = exchange_whole(state, context, target, connection, &bytes).await;
     match &whole {
         Ok(whole) => guard.failed = whole.head.status >= 500,
-        Err(fault) => note_crash(state, context, target, fault, was_reused),
+        Err(fault) => record_crash(state, context, target, fault, was_reused),
     }
     whole
 }
@@ -162,26 +166,26 @@
     mut connection: TargetConnection,
     request: &[u8],
 ) -> Result<WholeAnswer, AttemptFault> {
-    let head = ask(state, target, &mut connection, context, request).await?;
+    let head = send_request(state, target, &mut connection, context, request).await?;
     let body = connection.whole_body(&head).await?;
-    if head.is_kept {
+    if head.keeps_alive {
         let now = state.now();
         state
             .pool
-            .put(now, target.address, connection, head.keep_ms);
+            .put(now, target.address, connection, head.keep_alive_ms);
     }
     Ok(WholeAnswer { head, body })
 }
 
-/// Notes an attempt in vain, for the log, the figures and later choices.
-pub fn note_failed(
+/// Records a failed attempt in the log, the metrics and the state that later choices use.
+pub fn record_failed_attempt(
     state: &EntryState,
     context: &RequestContext,
     target: &TargetEntry,
     fault: &AttemptFault,
 ) {
     let may_have_run = fault.may_have_run();
-    state.metrics.note_attempt_failed(may_have_run);
+    state.metrics.record_attempt_failed(may_have_run);
     state.log(&Decision::AttemptFailed {
         request: context.caller.request_id.clone(),
         target: target.id.to_string(),
@@ -193,12 +197,13 @@
         state.serving().record_unreachable(now, &target.id);
     }
     if let AttemptFault::NotRun(not_run) = fault {
-        note_not_run(state, target, not_run);
+        record_not_run(state, target, not_run);
     }
 }
 
-/// Notes what a target's refusal tells of where targets are and which ones work.
-fn note_not_run(state: &EntryState, target: &TargetEntry, not_run: &NotRun) {
+/// Applies what a target's refusal reveals: that another target has taken over its address, or that a
+/// helper failed.
+fn record_not_run(state: &EntryState, target: &TargetEntry, not_run: &NotRun) {
     let now = state.now();
     let mut serving = state.serving();
     if not_run.is_misdirected {
@@ -210,17 +215,17 @@
     }
 }
 
-/// Passes on a target's answer. A failure whose status promises that nothing ran, from a target
-/// that doesn't say so, becomes a failure that promises nothing.
-async fn pass_on(answer: &CallerAnswer<'_>, whole: &WholeAnswer) -> Ended {
+/// Passes on a target's answer. A status that promises that nothing ran, without the target's
+/// confirmation, is replaced by 502.
+async fn pass_on(answer: &CallerAnswer<'_>, whole: &WholeAnswer) -> RequestEnd {
     let status = whole.head.status;
-    if PROMISES.contains(&status) {
-        let message = "the target failed without a word on whether the request ran";
-        return Ended::own(answer, 502, message, None).await;
+    if NOT_RUN_STATUSES.contains(&status) {
+        let message = "the target failed without saying whether the request ran";
+        return RequestEnd::error(answer, 502, message, None).await;
     }
-    match answer.whole(&whole.head, &whole.body).await {
-        Ok(()) => Ended::answered(status),
-        Err(_gone) => Ended::caller_gone(),
+    match answer.write_full(&whole.head, &whole.body).await {
+        Ok(()) => RequestEnd::answered(status),
+        Err(_gone) => RequestEnd::caller_gone(),
     }
 }
 
@@ -230,9 +235,9 @@
     answer: &CallerAnswer<'_>,
     refusal: Refusal,
     failure: Option<WholeAnswer>,
-) -> Ended {
+) -> RequestEnd {
     if let Some(whole) = failure {
         return pass_on(answer, &whole).await;
     }
-    Ended::refused(state, answer, context, refusal).await
+    RequestEnd::refused(state, answer, context, refusal).await
 }
--- a/crates/daemon/src/entry/request_context.rs
+++ b/crates/daemon/src/entry/request_context.rs
@@ -10,7 +10,7 @@
     },
 };
 
-/// A request that was read whole.
+/// A caller's request that has been read completely.
 #[derive(Debug)]
 pub struct ReadRequest {
     /// Its head.
@@ -21,42 +21,42 @@
     pub arrived: MonoMs,
 }
 
-/// A caller's request that was read whole and found its route.
+/// A caller's request with its route.
 #[derive(Debug)]
 pub struct RequestContext {
     /// Its head.
     pub head: RequestHead,
     /// Its body.
     pub body: Vec<u8>,
-    /// What its headers say.
+    /// What its headers tell this system, such as deadline and prompt size.
     pub caller: CallerHead,
     /// Its route.
     pub route: Arc<Route>,
-    /// Service that was drawn for it.
+    /// Service that was drawn from those of the route.
     pub service: ServiceName,
-    /// Its client account.
+    /// Its client account; `None` on a route that needs no key.
     pub account: Option<AccountName>,
     /// Version of the configuration by which it was routed.
     pub version: u64,
     /// When its first byte was read.
     pub arrived: MonoMs,
-    /// When it must be answered.
+    /// Deadline for the end of its answer.
     pub due: MonoMs,
-    /// Hash of account, path and body.
+    /// Hash of account, path and body, the same for all retries of a request.
     pub fingerprint: Fingerprint,
 }
 
 impl RequestContext {
-    /// The fingerprint for the log; `None` of a request without a body, which is like others.
+    /// Returns the fingerprint for the log; `None` without a body, since then it is shared with other requests.
     pub fn fingerprint_text(&self) -> Option<String> {
         (!self.body.is_empty()).then(|| format!("{:016x}", self.fingerprint))
     }
 
-    /// The request as a target gets it: the caller's method, path, headers and body, and what this
-    /// system sets.
+    /// Returns the bytes of the request to a target: the caller's method, path, headers and body, and the
+    /// headers that this system adds.
     pub fn for_target(&self, own: &TargetHead<'_>) -> Vec<u8> {
         let mut text = String::with_capacity(1_024);
-        // Writing to a string never fails.
+        // Writing to a String can't fail.
         let _written = write!(
             text,
             "{} {} HTTP/1.1\r\n",
--- a/crates/daemon/src/entry/routing.rs
+++ b/crates/daemon/src/entry/routing.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: its route, account and service.
+//! Finds the route, client account and service of a request.
 
 use {
     super::{
@@ -12,39 +12,39 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// Deadline of a caller that names none, in ms.
+/// Deadline of a request whose caller sends none, in ms.
 pub const ASSUMED_DEADLINE_MS: u64 = 30_000;
-/// Share of the time left after which a refused caller may come back at the latest; callers don't
-/// wait longer than a third.
-pub const MOST_RETRY_SHARE: u64 = 3;
-/// Shortest time that is told to a caller who may come back, in ms: about that in which an instance reads
-/// what is published.
-const LEAST_RETRY_MS: u64 = 300;
+/// A refused caller is told to retry after its deadline divided by this at the latest; callers don't wait
+/// longer than a third of it.
+pub const RETRY_AFTER_DIVISOR: u64 = 3;
+/// Shortest `Retry-After` without a configuration or service, in ms: about the time in which an instance reads
+/// the store.
+const MIN_RETRY_AFTER_MS: u64 = 300;
 
-/// Why a request goes nowhere, as its caller is told.
+/// Error answer to a request that can't be routed.
 #[derive(Debug)]
-pub struct Unrouted {
+pub struct RoutingRejection {
     /// Status of the answer.
     pub status: u16,
-    /// Why, for the caller and the log.
+    /// Message for the caller and the log.
     pub message: String,
-    /// When the caller may come back, in ms, if that is of use.
+    /// Time after which the caller may retry, in ms; `None` if a retry wouldn't help.
     pub retry_after_ms: Option<u64>,
 }
 
-/// Finds route, account and service.
+/// Finds route, account and service, and counts the request's arrival at the service.
 ///
 /// # Errors
-/// [`Unrouted`]; the request has not been sent.
+/// [`RoutingRejection`]; the request has not been sent.
 pub fn route(
     state: &EntryState,
     request: ReadRequest,
     caller: CallerHead,
-) -> Result<RequestContext, Unrouted> {
+) -> Result<RequestContext, RoutingRejection> {
     let deadline_ms = caller.deadline_ms.unwrap_or(ASSUMED_DEADLINE_MS);
     let mut serving = state.serving();
     let Some(configuration) = serving.configuration().map(Arc::clone) else {
-        return Err(Unrouted {
+        return Err(RoutingRejection {
             status: 503,
             message: "this instance has no configuration yet: come back".to_owned(),
             retry_after_ms: Some(unready_retry_ms(state, deadline_ms)),
@@ -56,18 +56,18 @@
         arrived,
     } = request;
     let host = head.header("host").unwrap_or_default();
-    let route = configuration.route(host, &head.target).map_err(refusal)?;
+    let route = configuration.route(host, &head.target).map_err(rejection)?;
     let account = configuration
         .account(route, caller.key.as_deref())
-        .map_err(refusal)?
+        .map_err(rejection)?
         .map(|(name, _priority)| name.clone());
     let service = route
         .draw_service(fastrand::f64())
         .cloned()
-        .ok_or_else(|| Unrouted {
+        .ok_or_else(|| RoutingRejection {
             status: 503,
             message: "the route leads to no service: come back".to_owned(),
-            retry_after_ms: Some(LEAST_RETRY_MS),
+            retry_after_ms: Some(MIN_RETRY_AFTER_MS),
         })?;
     serving.record_arrival(state.now(), &service);
     Ok(RequestContext {
@@ -84,14 +84,14 @@
     })
 }
 
-fn refusal(refused: RouteError) -> Unrouted {
-    let status = match refused {
+fn rejection(error: RouteError) -> RoutingRejection {
+    let status = match error {
         RouteError::NoRoute => 404,
         RouteError::UnknownKey => 401,
     };
-    Unrouted {
+    RoutingRejection {
         status,
-        message: refused.to_string(),
+        message: error.to_string(),
         retry_after_ms: None,
     }
 }
@@ -106,10 +106,11 @@
     hasher.digest()
 }
 
-/// When a caller is to come back while there is no configuration, in ms: a store that has been away
-/// for so long is likely to be away as long again, and its callers have few tries.
+/// Time after which a caller may retry while there is no configuration, in ms. It grows with the time since
+/// the start, since a store that has been unreachable for long is likely to stay so for as long again, and
+/// callers have few retries.
 fn unready_retry_ms(state: &EntryState, deadline_ms: u64) -> u64 {
-    let without_ms = state.now().since(state.started_at);
-    let most_ms = deadline_ms / MOST_RETRY_SHARE;
-    without_ms.max(LEAST_RETRY_MS).min(most_ms)
+    let unready_ms = state.now().since(state.started_at);
+    let max_ms = deadline_ms / RETRY_AFTER_DIVISOR;
+    unready_ms.max(MIN_RETRY_AFTER_MS).min(max_ms)
 }
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -2,11 +2,11 @@
     super::{
         caller_connection::serve_callers,
         decision_line::{Decision, DecisionLines},
-        directory::serve_questions,
+        directory::serve_queries,
         engine_reports::read_reports,
         entry_metrics::EntryMetrics,
         entry_state::EntryState,
-        links::{keep_links, take_links},
+        links::{accept_links, keep_links},
         store::read_store,
     },
     crate::{
@@ -23,28 +23,28 @@
     whinlatch_serving::{Serving, StoreRole, fleet::Member, mechanism::DisabledMechanisms},
 };
 
-/// Time between two looks whether a leaving instance is idle, in ms.
-const IDLE_LOOK_MS: u64 = 50;
-/// Time after the signal to stop for which the instance stays even if it is idle, in ms: callers
-/// keep the list of addresses for three times its lifetime of a second at most, and still connect.
-const STAY_MS: u64 = 3_600;
-/// Time between two readings of the settings file, in ms: it may change without a signal.
-const REREAD_MS: u64 = 5_000;
-/// Time before the kill at which the process ends, in ms.
-const END_MARGIN_MS: u64 = 300;
+/// Time between two checks whether a leaving instance is idle, in ms.
+const IDLE_CHECK_INTERVAL_MS: u64 = 50;
+/// Time after the signal to stop for which an idle instance still accepts requests, in ms: callers use
+/// an address list for up to three times its TTL of one second and still connect until then.
+const MIN_LEAVE_MS: u64 = 3_600;
+/// Time between two reads of the settings file, in ms: it may change without a signal.
+const SETTINGS_REREAD_INTERVAL_MS: u64 = 5_000;
+/// Time before the platform kills the process at which it exits by itself, in ms.
+const KILL_MARGIN_MS: u64 = 300;
 
-/// How an entry instance is started.
+/// Options of the command line for an entry instance.
 #[derive(Debug, Clone, Default)]
 pub struct EntryOptions {
-    /// Whether the settings are checked and nothing else is done.
+    /// Whether the process only checks the settings and exits.
     pub check: bool,
-    /// Parts of the decisions that are switched off.
+    /// Mechanisms of the decisions that are disabled.
     pub without: DisabledMechanisms,
-    /// Port of the counters, in place of the one that the settings give.
+    /// Port of the metrics; `None` for the one in the settings.
     pub metrics_port: Option<u16>,
 }
 
-/// A running entry instance. Dropped, it ends at once.
+/// A running entry instance. Dropping it cancels its tasks.
 #[derive(Debug)]
 pub struct Entry {
     state: Arc<EntryState>,
@@ -54,17 +54,17 @@
 impl Drop for Entry {
     fn drop(&mut self) {
         for task in self.tasks.drain(..) {
-            // Cancelling takes effect when the future is polled, which the executor does.
+            // A cancellation takes effect only when its future is polled, so the executor runs it.
             task::spawn(task.cancel());
         }
     }
 }
 
 impl Entry {
-    /// Listens and begins to read the store.
+    /// Binds the listeners and spawns the tasks, which read the store first.
     ///
     /// # Errors
-    /// An address is taken, or the system gives no thread.
+    /// An address can't be bound, a metric can't be registered or the log thread can't be started.
     pub async fn start(
         mut settings: InstanceSettings,
         clock: Arc<dyn Clock>,
@@ -88,83 +88,83 @@
             task::spawn(read_store(shared())),
             task::spawn(read_reports(shared())),
             task::spawn(keep_links(shared())),
-            task::spawn(take_links(shared(), peers)),
-            task::spawn(serve_questions(shared(), ready)),
-            task::spawn(serve_questions(shared(), directory)),
-            task::spawn(serve_questions(shared(), counters)),
+            task::spawn(accept_links(shared(), peers)),
+            task::spawn(serve_queries(shared(), ready)),
+            task::spawn(serve_queries(shared(), directory)),
+            task::spawn(serve_queries(shared(), counters)),
             task::spawn(serve_callers(shared(), callers)),
         ];
         Ok(Self { state, tasks })
     }
 
-    /// Switches parts of the decisions off.
-    pub fn switch_off(&self, without: DisabledMechanisms) {
-        self.state.serving().disable_mechanisms(without);
+    /// Disables mechanisms of the decisions.
+    pub fn disable_mechanisms(&self, disabled: DisabledMechanisms) {
+        self.state.serving().disable_mechanisms(disabled);
     }
 
-    /// The settings, with the ports that are listened on.
+    /// Returns the settings, with port 0 replaced by the port that was bound.
     pub fn settings(&self) -> &InstanceSettings {
         &self.state.settings
     }
 
-    /// Version of the configuration in force, 0 if there is none.
+    /// Returns the version of the active configuration, 0 if there is none.
     pub fn version(&self) -> u64 {
         self.state.serving().version()
     }
 
-    /// Names of the targets that take requests, in order.
+    /// Returns the names of the ready targets, in order.
     pub fn ready_targets(&self) -> Vec<String> {
         self.state.serving().ready_targets()
     }
 
-    /// How many times slower than published an engine is taken to be.
+    /// Returns the factor by which an engine is estimated to be slower than published.
     pub fn pace_of(&self, engine: &str) -> f64 {
         self.state.serving().pace_of(engine)
     }
 
-    /// Whether a target could not be reached a moment ago.
+    /// Whether a connection to a target failed recently.
     pub fn is_unreachable(&self, target: &str) -> bool {
         let now = self.state.now();
         self.state.serving().is_unreachable(now, target)
     }
 
-    /// Whether the store didn't answer when it was last asked.
-    pub fn lost_store(&self) -> bool {
+    /// Whether the last call of the store failed.
+    pub fn is_store_lost(&self) -> bool {
         self.state.serving().is_store_lost()
     }
 
-    /// Whether this instance leaves the store to a relay whose word is fresh.
-    pub fn goes_by_relay(&self) -> bool {
+    /// Whether this instance follows a relay whose status is fresh, and doesn't call the store.
+    pub fn follows_relay(&self) -> bool {
         let now = self.state.now();
         matches!(self.state.serving().store_role(now), StoreRole::Follow(_))
     }
 
-    /// Number of peers that are heard of.
+    /// Returns the number of live peers.
     pub fn peers(&self) -> usize {
         self.state.serving().live_peer_count(self.state.now())
     }
 
-    /// Leaves: the peers are told at once, requests are served until there are none and callers
-    /// have had time to learn of it, or the time is over.
+    /// Leaves the fleet: announces it to the peers immediately, and serves requests until none are open and
+    /// callers have had time to learn new addresses, or until shortly before the platform's kill.
     pub async fn leave(&self) {
         let state = &self.state;
-        let told_at = state.now();
-        let left_ms = state.settings.shutdown_ms.saturating_sub(END_MARGIN_MS);
+        let began_at = state.now();
+        let left_ms = state.settings.shutdown_ms.saturating_sub(KILL_MARGIN_MS);
         state.log(&Decision::Stopping { left_ms });
         state.serving().leave();
         loop {
-            state.clock.sleep(IDLE_LOOK_MS).await;
-            let passed_ms = state.now().since(told_at);
+            state.clock.sleep(IDLE_CHECK_INTERVAL_MS).await;
+            let passed_ms = state.now().since(began_at);
             let open_requests = state.metrics.open_requests();
-            if passed_ms >= left_ms || (open_requests == 0 && passed_ms >= STAY_MS) {
+            if passed_ms >= left_ms || (open_requests == 0 && passed_ms >= MIN_LEAVE_MS) {
                 state.log(&Decision::Stopped { open_requests });
                 return;
             }
         }
     }
 
-    /// Takes in settings that were read again. Seeds count at once; addresses and the rest at the
-    /// next start.
+    /// Applies settings that were read again. New seeds are used immediately; all else takes effect at
+    /// the next start.
     pub fn reload(&self, settings: &InstanceSettings) {
         let former = &self.state.settings;
         let is_new = self.state.set_seed_peers(settings.seed_peers.clone());
@@ -174,16 +174,18 @@
         } == *former;
         let outcome = match (is_new, same_rest) {
             (false, true) => return,
-            (true, true) => "new seeds are in force",
-            (false, false) => "what has changed takes effect at the next start",
-            (true, false) => "new seeds are in force, the rest takes effect at the next start",
+            (true, true) => "new seeds are active",
+            (false, false) => "the changes take effect at the next start",
+            (true, false) => {
+                "new seeds are active, the other changes take effect at the next start"
+            }
         };
         self.state.log(&Decision::Reloaded {
             outcome: outcome.to_owned(),
         });
     }
 
-    fn read_again(&self, options: &EntryOptions) {
+    fn reread_settings(&self, options: &EntryOptions) {
         match load(options) {
             Ok(settings) => self.reload(&settings),
             Err(fault) => self.state.log(&Decision::Reloaded {
@@ -222,10 +224,10 @@
     Ok(settings)
 }
 
-/// Runs an entry instance until it is told to stop.
+/// Runs an entry instance until it receives a signal to stop.
 ///
 /// # Errors
-/// It doesn't start.
+/// The settings can't be read, or [`Entry::start`] fails.
 pub fn run(options: &EntryOptions) -> Result<(), DaemonError> {
     let settings = load(options)?;
     if options.check {
@@ -244,15 +246,15 @@
 ) -> Result<(), DaemonError> {
     let signals = stop_signals()?;
     let entry = Entry::start(settings, Arc::clone(&clock)).await?;
-    entry.switch_off(options.without);
+    entry.disable_mechanisms(options.without);
     loop {
-        let signalled = timeout(clock.as_ref(), REREAD_MS, signals.recv()).await;
+        let signalled = timeout(clock.as_ref(), SETTINGS_REREAD_INTERVAL_MS, signals.recv()).await;
         match signalled {
             Some(Ok(StopSignal::Stop)) => {
                 entry.leave().await;
                 return Ok(());
             }
-            Some(Ok(StopSignal::Reload)) | None => entry.read_again(options),
+            Some(Ok(StopSignal::Reload)) | None => entry.reread_settings(options),
             Some(Err(_closed)) => return Ok(()),
         }
     }
--- a/crates/daemon/src/entry/store.rs
+++ b/crates/daemon/src/entry/store.rs
@@ -1,4 +1,4 @@
-//! What is published, as the store tells it.
+//! Reads the published configuration and targets from the store.
 
 mod intake;
 mod store_calls;
--- a/crates/daemon/src/entry/store/intake.rs
+++ b/crates/daemon/src/entry/store/intake.rs
@@ -6,19 +6,19 @@
     whinlatch_serving::targets::TargetChange,
 };
 
-/// Characters of a line on something unreadable: others may write entries of a megabyte, and the
-/// reason of a fault repeats a part of them.
-const MOST_FAULT_CHARS: usize = 400;
+/// Limit for the error in a log line on an unreadable entry, in characters: other writers may store
+/// entries of a megabyte, and the error repeats a part of them.
+const MAX_FAULT_CHARS: usize = 400;
 
-/// Takes in what the store tells.
+/// Applies what the store returns and logs what can't be read.
 pub struct Intake<'a> {
     state: &'a EntryState,
-    /// Lines that were written on what can't be read.
+    /// Limits the lines on unreadable entries.
     unreadable: UnreadableLines,
 }
 
 impl<'a> Intake<'a> {
-    /// Nothing was taken in yet.
+    /// Creates an intake without any logged lines.
     pub fn new(state: &'a EntryState) -> Self {
         Self {
             state,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Takes in changes one by one.
+    /// Applies changes one by one, in order.
     pub fn apply(&mut self, changes: Vec<Result<Change, StoreFault>>) {
         let now = self.state.now();
         for change in self.apply_configurations(changes) {
@@ -35,10 +35,10 @@
                 self.state.log(&line);
             }
         }
-        self.state.note_published();
+        self.state.notify_if_ready();
     }
 
-    /// Takes in configurations and returns the changes of targets.
+    /// Applies the configurations among the changes, and returns the changes of targets unapplied.
     pub fn apply_configurations(
         &mut self,
         changes: Vec<Result<Change, StoreFault>>,
@@ -47,11 +47,11 @@
         for change in changes {
             match change {
                 Ok(Change::Target(change)) => {
-                    self.note_unknown_service(&change);
+                    self.log_unknown_service(&change);
                     targets.push(change);
                 }
                 Ok(Change::Foreign(change, fault)) => {
-                    self.note_unreadable(&fault.to_string());
+                    self.log_unreadable(&fault.to_string());
                     targets.push(change);
                 }
                 Ok(Change::Configuration(configuration, text)) => {
@@ -65,14 +65,14 @@
                         self.state.log(&Decision::Configured { version, source });
                     }
                 }
-                Err(fault) => self.note_unreadable(&fault.to_string()),
+                Err(fault) => self.log_unreadable(&fault.to_string()),
             }
         }
         targets
     }
 
-    /// Notes a target that is of no service that is published: nobody sends it anything.
-    fn note_unknown_service(&mut self, change: &TargetChange) {
+    /// Logs a target whose service isn't published: it gets no requests.
+    fn log_unknown_service(&mut self, change: &TargetChange) {
         let Some(entry) = &change.entry else {
             return;
         };
@@ -80,17 +80,17 @@
         if configuration.is_some_and(|published| published.service(&entry.service).is_none()) {
             let (name, service) = (&change.name, &entry.service);
             let fault = format!("the entry of `{name}`: no service is called `{service}`");
-            self.note_unreadable(&fault);
+            self.log_unreadable(&fault);
         }
     }
 
-    fn note_unreadable(&mut self, fault: &str) {
-        if !self.unreadable.take(self.state.now()) {
-            self.state.metrics.note_dropped_log_line();
+    fn log_unreadable(&mut self, fault: &str) {
+        if !self.unreadable.try_take(self.state.now()) {
+            self.state.metrics.record_dropped_log_line();
             return;
         }
         let mut fault = fault.to_owned();
-        if let Some((cut, _)) = fault.char_indices().nth(MOST_FAULT_CHARS) {
+        if let Some((cut, _)) = fault.char_indices().nth(MAX_FAULT_CHARS) {
             fault.truncate(cut);
         }
         self.state.log(&Decision::Unreadable { fault });
--- a/crates/daemon/src/entry/store/store_calls.rs
+++ b/crates/daemon/src/entry/store/store_calls.rs
@@ -12,50 +12,50 @@
     whinlatch_platform::StoreFault,
 };
 
-/// Time for a connection to the store, in ms: a hundred times the usual one.
-const CONNECT_MS: u64 = 400;
-/// The same for an instance that starts and knows nothing yet, in ms. A first packet that is dropped is
-/// sent again only after a second.
-const STARTING_CONNECT_MS: u64 = 120;
-/// Time that bytes sent to the store may stay without an acknowledgement.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(1);
+/// Timeout for opening a connection to the store, in ms: a hundred times the usual duration.
+const CONNECT_TIMEOUT_MS: u64 = 400;
+/// The same for an instance that starts and has no state yet, in ms. A dropped first packet is retransmitted
+/// only after a second, so a new connection is faster.
+const STARTING_CONNECT_TIMEOUT_MS: u64 = 120;
+/// Time that bytes sent to the store may stay unacknowledged before the connection is taken as broken.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the store's answer can't be had.
+/// Reason why a call of the store failed.
 #[derive(Debug, Error)]
 pub enum ReadFault {
-    /// It takes no connection.
+    /// No connection could be opened.
     #[error("no connection: {0}")]
     Connect(#[from] io::Error),
-    /// It doesn't answer.
+    /// The answer timed out.
     #[error("no answer in time")]
     Silent,
-    /// It may answer, but peers were told more.
-    #[error("peers know more than the watch told")]
-    Behind,
-    /// It refuses.
+    /// The call was abandoned, since peers know a later revision than the watch has returned.
+    #[error("peers know a later revision than the watch returned")]
+    Lagging,
+    /// The store answered with an error status.
     #[error("status {0}")]
     Status(u16),
-    /// The connection broke, or what came on it is no answer.
+    /// The connection broke, or the answer isn't HTTP.
     #[error("{0}")]
     Connection(#[from] TargetFault),
-    /// The answer holds something else than was asked for.
+    /// The body of the answer can't be read.
     #[error("{0}")]
     Content(#[from] StoreFault),
 }
 
-/// What a call asks for.
+/// Kind of a call of the store.
 #[derive(Debug, Clone, Copy)]
 pub enum CallKind {
     /// The configuration.
     Configuration,
     /// A page of the targets.
     Page,
-    /// What changes.
+    /// The changes since a revision.
     Watch,
 }
 
 impl CallKind {
-    /// Its name in metrics.
+    /// Returns the label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
@@ -65,14 +65,14 @@
     }
 }
 
-/// Calls of the store, on one connection after the other.
+/// Client of the store, with one connection that is reused while it works.
 pub struct StoreCalls<'a> {
     state: &'a EntryState,
     connection: Option<TargetConnection>,
 }
 
 impl<'a> StoreCalls<'a> {
-    /// There is no connection yet.
+    /// Creates a client without a connection.
     pub fn new(state: &'a EntryState) -> Self {
         Self {
             state,
@@ -80,31 +80,32 @@
         }
     }
 
-    /// Whether the instance started a moment ago and knows nothing yet.
+    /// Whether the instance started recently and isn't ready yet.
     pub fn is_starting(&self) -> bool {
         self.state.is_starting() && !self.state.serving().is_ready()
     }
 
-    /// A call. A connection on which anything goes wrong isn't used again.
-    pub async fn get(&mut self, target: &str, within_ms: u64) -> Result<Vec<u8>, ReadFault> {
+    /// Sends a GET and returns the body. `timeout_ms` doesn't include opening a connection. A connection on
+    /// which a call failed isn't reused.
+    pub async fn get(&mut self, target: &str, timeout_ms: u64) -> Result<Vec<u8>, ReadFault> {
         let clock = self.state.clock.as_ref();
         let address = self.state.settings.store_address;
         let mut connection = if let Some(connection) = self.connection.take() {
             connection
         } else {
             let connect_ms = if self.is_starting() {
-                STARTING_CONNECT_MS
+                STARTING_CONNECT_TIMEOUT_MS
             } else {
-                CONNECT_MS
+                CONNECT_TIMEOUT_MS
             };
-            let opened = connect_within(clock, address, connect_ms, UNACKNOWLEDGED);
+            let opened = connect_within(clock, address, connect_ms, UNACKNOWLEDGED_TIMEOUT);
             TargetConnection::new(opened.await?)
         };
         let called = call(&mut connection, target, address);
-        let (status, is_kept, body) = timeout(clock, within_ms, called)
+        let (status, keeps_alive, body) = timeout(clock, timeout_ms, called)
             .await
             .ok_or(ReadFault::Silent)??;
-        if is_kept && connection.is_reusable() {
+        if keeps_alive && connection.is_reusable() {
             self.connection = Some(connection);
         }
         if status != 200 {
@@ -121,5 +122,5 @@
 ) -> Result<(u16, bool, Vec<u8>), TargetFault> {
     let request = format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n");
     let (head, body) = connection.exchange("GET", request.as_bytes()).await?;
-    Ok((head.status, head.is_kept, body))
+    Ok((head.status, head.keeps_alive, body))
 }
--- a/crates/daemon/src/entry/store/store_pace.rs
+++ b/crates/daemon/src/entry/store/store_pace.rs
@@ -1,54 +1,54 @@
 use {crate::entry::entry_state::EntryState, whinlatch_serving::StoreRole};
 
-/// Time between two watches, in ms: targets that start or are replaced write one after the other,
-/// and each change by itself would cost a call.
-const GATHER_MS: u64 = 50;
-/// The same for an instance that only looks for itself while its relays are silent, in ms. It stays
-/// well below the two seconds in which a leaving target is to be left alone.
-const STAND_IN_GATHER_MS: u64 = 250;
-/// Time between two looks whether relays have fresh word, in ms.
-const DUTY_LOOK_MS: u64 = 50;
-/// The same while an instance waits to be told what is published at its start, in ms.
-const START_LOOK_MS: u64 = 20;
-/// Time between two tries while the store doesn't answer, in ms.
-const RETRY_MS: u64 = 150;
-/// Time between two tries of an instance that starts, and knows nothing yet, to reach a store that
-/// doesn't take its connections, in ms: callers wait meanwhile, and nothing of that is a call.
-const STARTING_RETRY_MS: u64 = 40;
-/// Time within which instances whose relays fell silent look for themselves, in ms: not all at once, and
-/// soon enough for a target that leaves meanwhile.
+/// Pause between two watches, in ms: targets that start or are replaced write in quick succession, and each
+/// change would cost a call of its own.
+const WATCH_GAP_MS: u64 = 50;
+/// The same for an instance that stands in while its relays are silent, in ms. It stays well below the two
+/// seconds within which a leaving target must get no more requests.
+const STAND_IN_WATCH_GAP_MS: u64 = 250;
+/// Time between two checks for a relay with a fresh status, in ms.
+const ROLE_CHECK_INTERVAL_MS: u64 = 50;
+/// Time between two checks for state from peers at the start, in ms.
+const START_CHECK_INTERVAL_MS: u64 = 20;
+/// Shortest delay before a retry while the store doesn't answer, in ms; up to twice as long.
+const RETRY_INTERVAL_MS: u64 = 150;
+/// The same for an instance that starts, has no state yet and can't connect to the store, in ms: callers
+/// wait meanwhile, and a failed connection isn't charged as a call.
+const STARTING_RETRY_INTERVAL_MS: u64 = 40;
+/// Longest random delay before an instance whose relays fell silent calls the store, in ms: it spreads the
+/// instances, and is short enough for a target that leaves meanwhile.
 const STAND_IN_SPREAD_MS: u64 = 150;
-/// The same if the store doesn't answer the relays either, in ms. It is likely to be away for all.
+/// The same if the store doesn't answer the relays either, in ms. It is likely to be down for all.
 const LOST_SPREAD_MS: u64 = 2_000;
-/// Time until such an instance tries again after its first failure, in ms, and twice as long after each
-/// further one: hundreds that try as often as a relay would take most calls of a store that is back.
-const STAND_IN_RETRY_MS: u64 = 500;
-/// Failures after which that time grows no more.
-const MOST_DOUBLINGS: u32 = 3;
+/// Shortest delay of an instance that stands in after its first failure, in ms; it doubles with each further
+/// one. Hundreds of instances that retry as often as a relay would use up most calls of a store that is back.
+const STAND_IN_RETRY_INTERVAL_MS: u64 = 500;
+/// Number of times that [`STAND_IN_RETRY_INTERVAL_MS`] doubles.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// What the reader of the store is to do.
+/// What the reader of the store does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Turn {
-    /// It asks the store.
-    Ask,
-    /// It leaves that to a relay.
-    Told,
-    /// It looks again.
-    Wait,
+    /// Call the store.
+    Call,
+    /// Nothing: a relay sends the changes.
+    Follow,
+    /// Determine the role again, after a delay.
+    Recheck,
 }
 
-/// When the store is asked.
+/// Decides when the store is called.
 #[derive(Debug)]
 pub struct StorePace<'a> {
     state: &'a EntryState,
-    /// Whether this instance looks for itself since its relays are silent.
+    /// Whether this instance calls the store since its relays are silent.
     stands_in: bool,
-    /// Calls that failed since one last didn't.
+    /// Consecutive calls that failed.
     failures: u32,
 }
 
 impl<'a> StorePace<'a> {
-    /// No call was made yet.
+    /// Creates the pace of a reader that has made no call yet.
     pub fn new(state: &'a EntryState) -> Self {
         Self {
             state,
@@ -57,93 +57,98 @@
         }
     }
 
-    /// Whether this instance looks for itself since its relays are silent.
+    /// Whether this instance calls the store since its relays are silent.
     pub fn stands_in(&self) -> bool {
         self.stands_in
     }
 
-    /// A call was answered.
-    pub fn succeeded(&mut self) {
+    /// Records that a call was answered.
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
-    /// A call failed.
-    pub fn failed(&mut self) {
+    /// Records that a call failed.
+    pub fn record_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// What to do now; waits a moment first if that isn't to ask.
-    pub async fn turn(&mut self) -> Turn {
-        let duty = self.duty();
-        let stood_in = self.stands_in;
-        self.stands_in = matches!(duty, StoreRole::StandIn { .. });
-        match duty {
-            StoreRole::Watch => Turn::Ask,
+    /// Determines the next step; waits first unless that is [`Turn::Call`].
+    pub async fn next_turn(&mut self) -> Turn {
+        let role = self.store_role();
+        let stood_in_before = self.stands_in;
+        self.stands_in = matches!(role, StoreRole::StandIn { .. });
+        match role {
+            StoreRole::Watch => Turn::Call,
             StoreRole::Follow(_) => {
-                self.state.clock.sleep(DUTY_LOOK_MS).await;
-                Turn::Told
+                self.state.clock.sleep(ROLE_CHECK_INTERVAL_MS).await;
+                Turn::Follow
             }
-            StoreRole::StandIn { .. } if stood_in => Turn::Ask,
+            StoreRole::StandIn { .. } if stood_in_before => Turn::Call,
             StoreRole::StandIn { is_store_lost } => {
                 let spread_ms = if is_store_lost {
                     LOST_SPREAD_MS
                 } else {
                     STAND_IN_SPREAD_MS
                 };
-                self.wait_for_word(fastrand::u64(..spread_ms)).await;
-                Turn::Wait
+                self.wait_for_relay(fastrand::u64(..spread_ms)).await;
+                Turn::Recheck
             }
         }
     }
 
-    fn duty(&self) -> StoreRole {
+    fn store_role(&self) -> StoreRole {
         let now = self.state.now();
         self.state.serving().store_role(now)
     }
 
-    /// Waits for so long, or until a relay has fresh word.
-    async fn wait_for_word(&self, most_ms: u64) {
-        let until = self.state.now() + most_ms;
+    /// Waits for `max_ms`, or until a relay has a fresh status.
+    async fn wait_for_relay(&self, max_ms: u64) {
+        let until = self.state.now() + max_ms;
         loop {
             let left_ms = until.since(self.state.now());
-            if left_ms == 0 || matches!(self.duty(), StoreRole::Follow(_)) {
+            if left_ms == 0 || matches!(self.store_role(), StoreRole::Follow(_)) {
                 return;
             }
-            self.state.clock.sleep(left_ms.min(DUTY_LOOK_MS)).await;
+            self.state
+                .clock
+                .sleep(left_ms.min(ROLE_CHECK_INTERVAL_MS))
+                .await;
         }
     }
 
-    /// Gives peers the time to tell what is published, if nobody waits for it.
-    pub async fn wait_to_be_told(&self) {
+    /// Waits at the start until peers have sent the published state, for at most
+    /// [`start_patience_ms`](whinlatch_serving::Serving::start_patience_ms).
+    pub async fn wait_for_peers(&self) {
         let is_first_start = self.state.settings.is_first_start;
         let patience_ms = self.state.serving().start_patience_ms(is_first_start);
         let until = self.state.now() + patience_ms;
         while self.state.now() < until && self.state.serving().known_to().is_none() {
-            self.state.clock.sleep(START_LOOK_MS).await;
+            self.state.clock.sleep(START_CHECK_INTERVAL_MS).await;
         }
     }
 
-    /// Lets changes that follow each other closely gather, so that one call brings them all.
-    pub async fn gather(&self) {
+    /// Waits before the next watch, so that one call returns all changes in quick succession.
+    pub async fn wait_between_watches(&self) {
         let gather_ms = if self.stands_in {
-            STAND_IN_GATHER_MS
+            STAND_IN_WATCH_GAP_MS
         } else {
-            GATHER_MS
+            WATCH_GAP_MS
         };
         self.state.clock.sleep(gather_ms).await;
     }
 
-    /// Waits after a failure. `is_starting` tells that nothing is known yet and the store is out of reach.
-    pub async fn pause(&self, is_starting: bool) {
-        let pause_ms = if self.stands_in {
-            let doublings = self.failures.saturating_sub(1).min(MOST_DOUBLINGS);
-            STAND_IN_RETRY_MS << doublings
+    /// Waits after a failure. `is_starting` tells that the instance isn't ready yet and the store is
+    /// unreachable.
+    pub async fn wait_after_failure(&self, is_starting: bool) {
+        let delay_ms = if self.stands_in {
+            let doublings = self.failures.saturating_sub(1).min(MAX_DOUBLINGS);
+            STAND_IN_RETRY_INTERVAL_MS << doublings
         } else if is_starting {
-            STARTING_RETRY_MS
+            STARTING_RETRY_INTERVAL_MS
         } else {
-            RETRY_MS
+            RETRY_INTERVAL_MS
         };
-        self.wait_for_word(pause_ms + fastrand::u64(..pause_ms))
+        self.wait_for_relay(delay_ms + fastrand::u64(..delay_ms))
             .await;
     }
 }
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the store and watches it, or leaves that to relays while their word is fresh.
+//! Reads and watches the store, or follows relays while their status is fresh.
 
 use {
     super::{
@@ -16,51 +16,51 @@
     whinlatch_serving::targets::TargetChange,
 };
 
-/// Time that a watch waits for news, in ms. A connection that has gone silent is noticed after
-/// this and [`ANSWER_MS`], well within the two seconds in which a leaving target is to be left
-/// alone.
-const WATCH_MS: u64 = 900;
-/// Time between two looks whether peers know more, in ms.
-const BEHIND_LOOK_MS: u64 = 200;
-/// Time for an answer of the store, in ms: a hundred times the usual one.
-const ANSWER_MS: u64 = 400;
-/// Time for a whole page, in ms: the store may be sixty times as slow as usual.
-const PAGE_MS: u64 = 1_000;
-/// Time for a whole page then, in ms: the store may be over eighty times as slow as usual, and one that
-/// took a connection and fell silent answers on another as soon as it is back.
-const STARTING_PAGE_MS: u64 = 400;
-/// Status of a watch whose history is gone.
+/// Time for which the store holds a watch without changes, in ms. A connection that has gone silent is
+/// detected after this and [`ANSWER_TIMEOUT_MS`], well within the two seconds within which a leaving target
+/// must get no more requests.
+const WATCH_TIMEOUT_MS: u64 = 900;
+/// Time between two checks whether peers know a later revision, in ms.
+const LAG_CHECK_INTERVAL_MS: u64 = 200;
+/// Timeout for an answer of the store, in ms: a hundred times the usual duration.
+const ANSWER_TIMEOUT_MS: u64 = 400;
+/// Timeout for a page, in ms: the store may be sixty times as slow as usual.
+const PAGE_TIMEOUT_MS: u64 = 1_000;
+/// The same while an instance starts, in ms. The store may be slow, by over eighty times the usual duration,
+/// and a store that accepted a connection and fell silent answers on a new one as soon as it is back.
+const STARTING_PAGE_TIMEOUT_MS: u64 = 400;
+/// Status of a watch from a revision whose history the store no longer has.
 const GONE: u16 = 410;
 
-/// Keeps what is published up to date, for ever.
+/// Keeps the published state up to date, forever.
 pub async fn read_store(state: Arc<EntryState>) {
     let mut reader = StoreReader::new(&state);
-    reader.pace.wait_to_be_told().await;
+    reader.pace.wait_for_peers().await;
     loop {
         let fault = match reader.follow().await {
             Ok(never) => match never {},
             Err(fault) => fault,
         };
-        reader.failed(&fault);
-        let is_out_of_reach = matches!(fault, ReadFault::Connect(_) | ReadFault::Silent);
-        let is_starting = is_out_of_reach && reader.calls.is_starting();
-        reader.pace.pause(is_starting).await;
+        reader.on_failure(&fault);
+        let is_unreachable = matches!(fault, ReadFault::Connect(_) | ReadFault::Silent);
+        let is_starting = is_unreachable && reader.calls.is_starting();
+        reader.pace.wait_after_failure(is_starting).await;
     }
 }
 
-/// Why the store is asked, as metrics tell it.
+/// Reason for a call of the store, a label in metrics.
 #[derive(Debug, Clone, Copy)]
 enum Reason {
-    /// Nothing is known yet.
+    /// The instance has no state yet.
     Start,
-    /// This instance watches, for itself or for others too.
+    /// This instance watches the store, for itself or for followers too.
     Watch,
     /// The relays are silent.
     StandIn,
-    /// Something failed, and what happened meanwhile is asked for.
+    /// A call failed or peers know more, and the changes so far are requested without waiting.
     Recheck,
-    /// The store forgot the history, or told something that can't be read.
-    Anew,
+    /// The store no longer has the history, or an answer couldn't be read, so all is read again.
+    Reread,
 }
 
 impl Reason {
@@ -70,13 +70,13 @@
             Self::Watch => "watch",
             Self::StandIn => "stand_in",
             Self::Recheck => "recheck",
-            Self::Anew => "anew",
+            Self::Reread => "anew",
         }
     }
 }
 
-/// Pages that were read so far. They aren't a snapshot: what is missing is missing as of the first
-/// one's revision.
+/// Pages of a full read so far. They aren't a consistent snapshot: a target that is missing from them was
+/// removed, or not yet added, as of the first page's revision.
 struct Reading {
     revision: u64,
     targets: Vec<TargetChange>,
@@ -87,13 +87,13 @@
     state: &'a EntryState,
     calls: StoreCalls<'a>,
     intake: Intake<'a>,
-    lost_at: Option<MonoMs>,
-    /// What a reading of all that is published has so far.
+    lost_since: Option<MonoMs>,
+    /// Progress of a full read that failed and is continued by the next call.
     reading: Option<Reading>,
-    /// Whether what is known can't be gone on from.
-    reads_anew: bool,
-    /// Whether peers knew more than the watch told, so that it is asked again what happened.
-    is_doubtful: bool,
+    /// Whether a watch can't continue from the known revision.
+    needs_full_read: bool,
+    /// Whether peers know a later revision than the watch returned, so that the changes are requested again.
+    needs_recheck: bool,
     pace: StorePace<'a>,
 }
 
@@ -103,48 +103,48 @@
             state,
             calls: StoreCalls::new(state),
             intake: Intake::new(state),
-            lost_at: None,
+            lost_since: None,
             reading: None,
-            reads_anew: false,
-            is_doubtful: false,
+            needs_full_read: false,
+            needs_recheck: false,
             pace: StorePace::new(state),
         }
     }
 
-    /// Reads what isn't known yet, and then each change, until that fails.
+    /// Reads everything once and then each change, until a call fails.
     ///
-    /// What was read is kept when a call fails: hundreds of instances that start at once use up the
-    /// store's calls, and would begin anew at each refusal for good; and all would read everything
-    /// again after each short trouble of the store.
+    /// What was read is kept when a call fails. Hundreds of instances that start at the same time use up the
+    /// store's quota of calls, and if each refusal made them begin again, none would ever finish; and all would
+    /// read everything again after each short outage of the store.
     async fn follow(&mut self) -> Result<Infallible, ReadFault> {
         loop {
-            match self.pace.turn().await {
-                Turn::Ask => {}
-                Turn::Wait => continue,
-                Turn::Told => {
-                    // The relay has told all that it knew, whatever couldn't be gone on from here.
-                    self.reads_anew = false;
+            match self.pace.next_turn().await {
+                Turn::Call => {}
+                Turn::Recheck => continue,
+                Turn::Follow => {
+                    // The relay has sent its whole state, from which a watch can continue.
+                    self.needs_full_read = false;
                     continue;
                 }
             }
             let known_to = self.state.serving().known_to();
-            if let Some(revision) = known_to.filter(|_| !self.reads_anew) {
+            if let Some(revision) = known_to.filter(|_| !self.needs_full_read) {
                 let revision = self.read_changes(revision).await?;
-                self.told(revision);
-                self.pace.gather().await;
+                self.mark_complete(revision);
+                self.pace.wait_between_watches().await;
             } else {
                 let revision = self.read_all().await?;
-                self.told(revision);
+                self.mark_complete(revision);
             }
         }
     }
 
-    fn told(&self, revision: u64) {
+    fn mark_complete(&self, revision: u64) {
         let now = self.state.now();
         self.state.serving().mark_complete_at(now, revision);
     }
 
-    /// Reads all that is published. Returns the revision from which a watch goes on.
+    /// Reads the configuration and all targets. Returns the revision from which a watch continues.
     async fn read_all(&mut self) -> Result<u64, ReadFault> {
         let mut reading = match self.reading.take() {
             Some(reading) => reading,
@@ -167,12 +167,12 @@
                 break;
             }
         }
-        self.reads_anew = false;
+        self.needs_full_read = false;
         let now = self.state.now();
         self.state
             .serving()
             .apply_store_snapshot(now, reading.revision, reading.targets);
-        self.state.note_published();
+        self.state.notify_if_ready();
         Ok(reading.revision)
     }
 
@@ -188,12 +188,12 @@
 
     async fn range(&mut self, kind: CallKind, target: &str) -> Result<RangePage, ReadFault> {
         let page_ms = if self.calls.is_starting() {
-            STARTING_PAGE_MS
+            STARTING_PAGE_TIMEOUT_MS
         } else {
-            PAGE_MS
+            PAGE_TIMEOUT_MS
         };
-        let reason = if self.reads_anew {
-            Reason::Anew
+        let reason = if self.needs_full_read {
+            Reason::Reread
         } else {
             Reason::Start
         };
@@ -201,43 +201,44 @@
         Ok(read_range(&body)?)
     }
 
-    /// Takes in what has happened since a revision, or happens within the time of a watch. Returns the
-    /// revision from which to go on.
+    /// Applies the changes since a revision, including those during the watch. Returns the revision from which
+    /// to continue.
     ///
-    /// Guards against a store that is back while a watch that was sent before waits for good: after a
-    /// trouble, what happened so far is asked for first, which is answered at once. Entries that lapse
-    /// are given time from the moment at which the store answers, and one that has left would get
-    /// requests for as long.
+    /// After a failure, the changes so far are requested first, which the store answers immediately. Guards
+    /// against a watch that hangs while the store is back: expired entries are only removed some time after
+    /// the store answers again, and a target that has left would get requests until then.
     async fn read_changes(&mut self, revision: u64) -> Result<u64, ReadFault> {
-        let is_recheck = self.lost_at.is_some() || self.is_doubtful;
+        let is_recheck = self.lost_since.is_some() || self.needs_recheck;
         let (reason, watch_ms) = match (is_recheck, self.pace.stands_in()) {
             (true, _) => (Reason::Recheck, 0),
-            (false, true) => (Reason::StandIn, WATCH_MS),
-            (false, false) => (Reason::Watch, WATCH_MS),
+            (false, true) => (Reason::StandIn, WATCH_TIMEOUT_MS),
+            (false, false) => (Reason::Watch, WATCH_TIMEOUT_MS),
         };
         let target = watch_request(revision, watch_ms);
         let state = self.state;
         let body = {
-            let within_ms = watch_ms + ANSWER_MS;
-            let watched = self.get(CallKind::Watch, reason, &target, within_ms).fuse();
-            let behind = until_behind(state).fuse();
-            pin_mut!(watched, behind);
+            let timeout_ms = watch_ms + ANSWER_TIMEOUT_MS;
+            let watched = self
+                .get(CallKind::Watch, reason, &target, timeout_ms)
+                .fuse();
+            let lagging = until_lagging(state).fuse();
+            pin_mut!(watched, lagging);
             select! {
                 body = watched => body?,
-                () = behind => return Err(ReadFault::Behind),
+                () = lagging => return Err(ReadFault::Lagging),
             }
         };
         let History { changes, revision } = read_watch(&body)?;
         self.intake.apply(changes);
-        self.note_rechecked();
+        self.finish_recheck();
         Ok(revision)
     }
 
-    /// What a watch didn't tell is read anew only if the store, asked once more, doesn't tell it either.
-    fn note_rechecked(&mut self) {
-        if std::mem::take(&mut self.is_doubtful) {
+    /// Ends a recheck: a full read follows only if peers still know a later revision after it.
+    fn finish_recheck(&mut self) {
+        if std::mem::take(&mut self.needs_recheck) {
             let now = self.state.now();
-            self.reads_anew = self.state.serving().is_lagging(now);
+            self.needs_full_read = self.state.serving().is_lagging(now);
         }
     }
 
@@ -246,60 +247,60 @@
         kind: CallKind,
         reason: Reason,
         target: &str,
-        within_ms: u64,
+        timeout_ms: u64,
     ) -> Result<Vec<u8>, ReadFault> {
         self.state
             .metrics
-            .note_store_call(kind.name(), reason.name());
-        let body = self.calls.get(target, within_ms).await?;
-        self.answered();
+            .record_store_call(kind.name(), reason.name());
+        let body = self.calls.get(target, timeout_ms).await?;
+        self.on_answer();
         Ok(body)
     }
 
-    fn answered(&mut self) {
-        self.pace.succeeded();
+    fn on_answer(&mut self) {
+        self.pace.record_success();
         let now = self.state.now();
         self.state.serving().store_answers(now);
-        if let Some(lost_at) = self.lost_at.take() {
-            let away_ms = now.since(lost_at);
+        if let Some(lost_since) = self.lost_since.take() {
+            let away_ms = now.since(lost_since);
             self.state.log(&Decision::StoreRegained { away_ms });
         }
     }
 
-    fn failed(&mut self, fault: &ReadFault) {
-        self.state.metrics.note_store_failure();
-        self.pace.failed();
+    fn on_failure(&mut self, fault: &ReadFault) {
+        self.state.metrics.record_store_failure();
+        self.pace.record_failure();
         match fault {
             ReadFault::Content(fault) => {
-                self.reads_anew = true;
+                self.needs_full_read = true;
                 let fault = fault.to_string();
                 self.state.log(&Decision::Unreadable { fault });
             }
-            // The store is there: it said that a history is gone, or only this watch is out of order.
-            ReadFault::Status(GONE) => self.reads_anew = true,
-            ReadFault::Behind => self.is_doubtful = true,
+            // The store answers; only the history is gone, or this watch doesn't return what peers know.
+            ReadFault::Status(GONE) => self.needs_full_read = true,
+            ReadFault::Lagging => self.needs_recheck = true,
             ReadFault::Connect(_)
             | ReadFault::Silent
             | ReadFault::Status(_)
-            | ReadFault::Connection(_) => self.lost(fault),
+            | ReadFault::Connection(_) => self.record_store_lost(fault),
         }
     }
 
-    fn lost(&mut self, fault: &ReadFault) {
+    fn record_store_lost(&mut self, fault: &ReadFault) {
         let now = self.state.now();
         self.state.serving().store_failed(now);
-        if self.lost_at.is_none() {
-            self.lost_at = Some(now);
+        if self.lost_since.is_none() {
+            self.lost_since = Some(now);
             let fault = fault.to_string();
             self.state.log(&Decision::StoreLost { fault });
         }
     }
 }
 
-/// Ends when peers have known more for a while than this instance.
-async fn until_behind(state: &EntryState) {
+/// Completes when peers have known a later revision than this instance for a while.
+async fn until_lagging(state: &EntryState) {
     loop {
-        state.clock.sleep(BEHIND_LOOK_MS).await;
+        state.clock.sleep(LAG_CHECK_INTERVAL_MS).await;
         if state.serving().is_lagging(state.now()) {
             return;
         }
