--- a/crates/daemon/src/entry/store/unreadable_lines.rs
+++ b/crates/daemon/src/entry/store/unreadable_lines.rs
@@ -1,13 +1,13 @@
 use whinlatch_core::MonoMs;
 
-/// Lines on what can't be read in each [`UNREADABLE_SPAN_MS`] at most: others may write as often as
-/// they like. The counter of dropped lines has the rest.
-const MOST_UNREADABLE: u32 = 50;
-/// See [`MOST_UNREADABLE`], in ms.
-const UNREADABLE_SPAN_MS: u64 = 10_000;
+/// Log lines on unreadable entries per [`UNREADABLE_INTERVAL_MS`], since other writers may write any number.
+/// The metric of dropped log lines counts the rest.
+const MAX_UNREADABLE_LINES: u32 = 50;
+/// Interval to which [`MAX_UNREADABLE_LINES`] applies, in ms.
+const UNREADABLE_INTERVAL_MS: u64 = 10_000;
 
-/// Counts lines on what can't be read, so that whoever writes below the targets' prefix doesn't fill
-/// the log.
+/// Rate limit for log lines on unreadable entries, so that other writers below the targets' prefix can't
+/// fill the log.
 #[derive(Debug, Default)]
 pub struct UnreadableLines {
     since: MonoMs,
@@ -15,13 +15,13 @@
 }
 
 impl UnreadableLines {
-    /// Whether one more may be written.
-    pub fn take(&mut self, now: MonoMs) -> bool {
-        if now.since(self.since) >= UNREADABLE_SPAN_MS {
+    /// Counts a line. Returns whether it may be written.
+    pub fn try_take(&mut self, now: MonoMs) -> bool {
+        if now.since(self.since) >= UNREADABLE_INTERVAL_MS {
             self.since = now;
             self.count = 0;
         }
         self.count = self.count.saturating_add(1);
-        self.count <= MOST_UNREADABLE
+        self.count <= MAX_UNREADABLE_LINES
     }
 }
--- a/crates/daemon/src/entry/stream_events.rs
+++ b/crates/daemon/src/entry/stream_events.rs
@@ -1,11 +1,11 @@
-//! Events of a stream on their way to its caller.
+//! Relays the events of one attempt to the caller.
 
 use {
     super::{
         attempt::AttemptFault,
         entry_state::EntryState,
         http::{BodyDecoder, Progress, ResponseHead},
-        stream_relay::{MOST_PAUSE_MS, Relay, StreamEnd},
+        stream_relay::{MAX_EVENT_PAUSE_MS, Relay, StreamEnd},
         target_connection::TargetConnection,
     },
     crate::clock::timeout,
@@ -18,15 +18,15 @@
     whinlatch_serving::{PromptPlacement, targets::TargetEntry},
 };
 
-/// Silence of an engine after which it counts whether it can be reached, in ms: over the longest
-/// pass that is on time for short streams.
-const UNREACHABLE_LOOK_MS: u64 = 700;
+/// Silence of an engine after which its reachability is checked, in ms. Longer than the longest pass
+/// with which short streams are on time.
+const UNREACHABLE_CHECK_INTERVAL_MS: u64 = 700;
 
 impl Relay<'_> {
-    /// Passes on the events of an attempt as they come.
+    /// Relays the events of an attempt as they arrive.
     pub(super) async fn relay(
         &mut self,
-        place: &PromptPlacement,
+        placement: &PromptPlacement,
         mut connection: TargetConnection,
         head: ResponseHead,
         first_event_by: MonoMs,
@@ -40,11 +40,11 @@
                 first_event_by.since(self.state.now())
             };
             let progress = self
-                .receive(place, &mut connection, &mut decoder, wait_ms)
+                .receive(placement, &mut connection, &mut decoder, wait_ms)
                 .await?;
             let events = self.take_events(progress);
             if !events.is_empty() {
-                self.note_event(place, !std::mem::replace(&mut has_begun, true));
+                self.record_event(placement, !std::mem::replace(&mut has_begun, true));
                 if self.deliver(&head, &events).await.is_err() {
                     return Ok(StreamEnd::CallerGone);
                 }
@@ -53,16 +53,17 @@
                 if self.finish(&head).await.is_err() {
                     return Ok(StreamEnd::CallerGone);
                 }
-                self.keep(place, connection, &head);
+                self.return_to_pool(placement, connection, &head);
                 return Ok(StreamEnd::Whole);
             }
         }
     }
 
-    /// Receives more of the stream, unless the engine is silent for too long or out of reach.
+    /// Receives more of the stream. Fails if the engine is silent for `wait_ms`, or unreachable while another
+    /// attempt is left.
     async fn receive(
         &mut self,
-        place: &PromptPlacement,
+        placement: &PromptPlacement,
         connection: &mut TargetConnection,
         decoder: &mut BodyDecoder,
         wait_ms: u64,
@@ -70,7 +71,7 @@
         let may_move = self.has_another_attempt();
         let more = connection.body(decoder, self.splitter.buffer());
         let awaited = timeout(self.state.clock.as_ref(), wait_ms, more);
-        let lost = until_to_move(self.state, &place.engine, may_move);
+        let lost = until_stream_should_move(self.state, &placement.engine, may_move);
         pin_mut!(awaited, lost);
         match select(awaited, lost).await {
             Either::Left((progress, _)) => Ok(progress.ok_or(AttemptFault::Silent)??),
@@ -78,10 +79,10 @@
         }
     }
 
-    /// Time for which a further event is awaited, in ms.
+    /// Timeout for the next event, in ms.
     fn next_event_wait_ms(&self) -> u64 {
         if self.has_another_attempt() {
-            return MOST_PAUSE_MS;
+            return MAX_EVENT_PAUSE_MS;
         }
         self.context.due.since(self.state.now())
     }
@@ -94,31 +95,38 @@
         events
     }
 
-    fn keep(&self, place: &PromptPlacement, connection: TargetConnection, head: &ResponseHead) {
-        if head.is_kept {
+    fn return_to_pool(
+        &self,
+        placement: &PromptPlacement,
+        connection: TargetConnection,
+        head: &ResponseHead,
+    ) {
+        if head.keeps_alive {
             let now = self.state.now();
-            let address = place.engine.address;
-            self.state.pool.put(now, address, connection, head.keep_ms);
+            let address = placement.engine.address;
+            self.state
+                .pool
+                .put(now, address, connection, head.keep_alive_ms);
         }
     }
 
-    /// Notes an event; `is_first` if it is the first one of this attempt.
-    fn note_event(&mut self, place: &PromptPlacement, is_first: bool) {
+    /// Records events that arrived; `is_first` if they are the first ones of this attempt.
+    fn record_event(&mut self, placement: &PromptPlacement, is_first: bool) {
         let now = self.state.now();
         {
             let mut serving = self.state.serving();
             if is_first {
-                serving.record_first_event(now, place.job);
+                serving.record_first_event(now, placement.job);
             }
-            serving.record_stream_event(now, &place.engine);
+            serving.record_stream_event(now, &placement.engine);
         }
         if self.first_event_at.is_some() {
-            self.answer.note_pause(now.since(self.last_event_at));
+            self.answer.record_pause(now.since(self.last_event_at));
         } else {
             self.first_event_at = Some(now);
             let took_ms = now.since(self.context.arrived);
-            self.state.metrics.note_first_event(took_ms);
-            self.answer.note_first_event(took_ms);
+            self.state.metrics.record_first_event(took_ms);
+            self.answer.record_first_event(took_ms);
         }
         self.last_event_at = now;
     }
@@ -139,17 +147,17 @@
     }
 }
 
-/// Ends when nothing came from an engine for a while, some instance could not reach it, and another
-/// one can take the stream.
+/// Completes when an engine has been silent for a while, some instance couldn't reach it, and another engine
+/// can take the stream. Never completes unless `may_move`.
 ///
-/// Guards against an engine that has lost power: its open connections stay as they are, and a
-/// caller waits for events until it gives up.
-async fn until_to_move(state: &EntryState, engine: &TargetEntry, may_move: bool) {
+/// Guards against an engine that has lost power: its open connections never break, so the caller
+/// would wait for events until its deadline.
+async fn until_stream_should_move(state: &EntryState, engine: &TargetEntry, may_move: bool) {
     if !may_move {
         return pending().await;
     }
     loop {
-        state.clock.sleep(UNREACHABLE_LOOK_MS).await;
+        state.clock.sleep(UNREACHABLE_CHECK_INTERVAL_MS).await;
         if state.serving().should_move_stream(state.now(), engine) {
             return;
         }
--- a/crates/daemon/src/entry/target_connection.rs
+++ b/crates/daemon/src/entry/target_connection.rs
@@ -12,10 +12,10 @@
     thiserror::Error,
 };
 
-/// Bytes that the head of a target's answer may have.
-const MOST_HEAD_BYTES: usize = 64 * 1024;
+/// Limit for the head of a target's answer, in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Why a target's answer can't be had.
+/// Reason why a target's answer couldn't be read.
 #[derive(Debug, Error)]
 pub enum TargetFault {
     /// The connection broke.
@@ -24,19 +24,19 @@
     /// The connection ended before the answer did.
     #[error("the target closed the connection before its answer was whole")]
     Closed,
-    /// What came is no answer.
-    #[error("what the target sent is no answer: {0}")]
+    /// The head isn't that of an HTTP answer.
+    #[error("the target's answer isn't HTTP: {0}")]
     Head(#[from] HeadFault),
-    /// Its body can't be read.
+    /// The body can't be decoded.
     #[error(transparent)]
     Body(#[from] BodyFault),
 }
 
-/// What became of a write.
+/// Result of a write.
 enum Sent {
-    /// So many bytes are on their way.
+    /// Number of bytes written.
     Bytes(usize),
-    /// The target answers already.
+    /// The target began to answer before it had read the whole request.
     Answered,
 }
 
@@ -45,29 +45,29 @@
 pub struct TargetConnection {
     stream: GuardedStream,
     input: Input,
-    is_spoilt: bool,
-    /// Whether requests were answered on it before.
+    is_unusable: bool,
+    /// Whether an earlier request was answered on it.
     pub is_reused: bool,
 }
 
 impl TargetConnection {
-    /// A connection that has just been opened.
+    /// Wraps a connection that has just been opened.
     pub fn new(stream: GuardedStream) -> Self {
         Self {
             stream,
             input: Input::default(),
-            is_spoilt: false,
+            is_unusable: false,
             is_reused: false,
         }
     }
 
-    /// Whether another request may be sent: nothing came that belongs to no request, and all of
-    /// the last one was sent.
+    /// Whether another request may be sent: the last one was sent completely, and no bytes are left that
+    /// belong to no request.
     pub fn is_reusable(&self) -> bool {
-        !self.is_spoilt && self.input.is_empty()
+        !self.is_unusable && self.input.is_empty()
     }
 
-    /// Whether the target has closed the connection or sent something since it was last used.
+    /// Whether the target has closed the idle connection or sent something on it.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0];
         let mut stream = self.stream.inner();
@@ -75,18 +75,18 @@
         read.is_some()
     }
 
-    /// Sends a request. A target may answer before it has read all of it; the rest isn't sent
-    /// then, and the connection takes no other request.
+    /// Sends a request. If the target begins to answer before it has read all of it, the rest isn't sent
+    /// and the connection isn't reused.
     ///
     /// # Errors
-    /// [`TargetFault::Closed`] if the target closed the connection meanwhile without an answer.
+    /// [`TargetFault::Closed`] if the target closed the connection without an answer, or [`TargetFault::Io`].
     pub async fn send(&mut self, bytes: &[u8]) -> Result<(), TargetFault> {
         let mut left = bytes;
         while !left.is_empty() {
             match poll_fn(|context| self.poll_send(context, left)).await? {
                 Sent::Bytes(count) => left = &left[count..],
                 Sent::Answered => {
-                    self.is_spoilt = true;
+                    self.is_unusable = true;
                     return Ok(());
                 }
             }
@@ -113,7 +113,7 @@
         Poll::Ready(Ok(Sent::Bytes(count)))
     }
 
-    /// Receives the head of the answer.
+    /// Receives the head of the answer, past interim ones such as 100. `method` is that of the request.
     ///
     /// # Errors
     /// [`TargetFault`].
@@ -127,7 +127,7 @@
                         return Ok(head);
                     }
                 }
-                None if self.input.as_slice().len() > MOST_HEAD_BYTES => {
+                None if self.input.as_slice().len() > MAX_HEAD_BYTES => {
                     return Err(HeadFault::TooLarge.into());
                 }
                 None => self.fill().await?,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Receives more of a body, until some of it is in `out` or it is whole.
+    /// Receives more of a body, until some is appended to `out` or the body is complete.
     ///
     /// # Errors
     /// [`TargetFault`].
@@ -151,14 +151,14 @@
                 return Ok(progress);
             }
             if self.input.fill(self.stream.inner()).await? == 0 {
-                self.is_spoilt = true;
+                self.is_unusable = true;
                 decoder.end()?;
                 return Ok(Progress::Whole);
             }
         }
     }
 
-    /// Sends a request and receives the whole answer.
+    /// Sends a request and receives the complete answer.
     ///
     /// # Errors
     /// [`TargetFault`].
@@ -173,7 +173,7 @@
         Ok((head, body))
     }
 
-    /// Receives a whole body.
+    /// Receives the complete body that follows `head`.
     ///
     /// # Errors
     /// [`TargetFault`].
--- a/crates/daemon/src/entry/target_pool.rs
+++ b/crates/daemon/src/entry/target_pool.rs
@@ -11,40 +11,39 @@
     whinlatch_core::MonoMs,
 };
 
-/// Time for a connection to a target to open, in ms. Round trips take some 2 ms and targets accept
-/// within 1 ms; a dark target is passed over while its caller still waits.
+/// Timeout for opening a connection to a target, in ms. Round trips take some 2 ms and targets accept
+/// within 1 ms; a target that is powered off is skipped while the caller still waits.
 const CONNECT_TIMEOUT_MS: u64 = 300;
-/// Time that bytes written to a target may stay without an acknowledgement.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(800);
-/// Idle time up to which a connection is used again if the target doesn't say how long it keeps
-/// it, in ms.
-const UNTOLD_KEEP_MS: u64 = 600;
-/// Time before the target closes an idle connection at which it isn't used any more, in ms: the
-/// close may be on its way.
-const KEEP_MARGIN_MS: u64 = 400;
-/// Idle connections that are kept for one target.
-const MOST_IDLE: usize = 24;
+/// Time that bytes sent to a target may stay unacknowledged before the connection is taken as broken.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(800);
+/// Idle time up to which a connection is reused if the target's answer has no `Keep-Alive` timeout, in ms.
+const DEFAULT_KEEP_ALIVE_MS: u64 = 600;
+/// Time before the end of the target's `Keep-Alive` timeout at which a connection is no longer reused, in
+/// ms: the target's close may already be in flight.
+const KEEP_ALIVE_MARGIN_MS: u64 = 400;
+/// Idle connections kept per target.
+const MAX_IDLE_CONNECTIONS: usize = 24;
 
 #[derive(Debug)]
 struct Idle {
     connection: TargetConnection,
-    use_before: MonoMs,
+    expires_at: MonoMs,
 }
 
-/// Connections to targets that wait for another request. Opening one costs the target a slot for a
-/// moment and both sides processor time.
+/// Idle connections to targets, kept for reuse: opening one briefly takes a slot of the target and costs
+/// both sides CPU time.
 #[derive(Debug, Default)]
 pub struct TargetPool {
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
 }
 
 impl TargetPool {
-    /// An idle connection that the target still keeps.
+    /// Takes an idle connection that the target should still keep open; `None` if there is none.
     pub fn take(&self, now: MonoMs, address: SocketAddr) -> Option<TargetConnection> {
         let mut idle = self.lock();
         let connections = idle.get_mut(&address)?;
         while let Some(idle) = connections.pop() {
-            if idle.use_before > now && !idle.connection.is_stale() {
+            if idle.expires_at > now && !idle.connection.is_stale() {
                 return Some(idle.connection);
             }
         }
@@ -54,44 +53,47 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// It is refused or takes too long. Nothing was sent.
+    /// The connection is refused or times out. Nothing was sent.
     pub async fn open(
         &self,
         clock: &dyn Clock,
         address: SocketAddr,
     ) -> io::Result<TargetConnection> {
-        let stream = connect_within(clock, address, CONNECT_TIMEOUT_MS, UNACKNOWLEDGED).await?;
+        let stream =
+            connect_within(clock, address, CONNECT_TIMEOUT_MS, UNACKNOWLEDGED_TIMEOUT).await?;
         Ok(TargetConnection::new(stream))
     }
 
-    /// Keeps a connection for another request. `keep_ms` is what the target said.
+    /// Keeps a connection for reuse. `keep_alive_ms` is the target's `Keep-Alive` timeout, if it sent one.
     pub fn put(
         &self,
         now: MonoMs,
         address: SocketAddr,
         mut connection: TargetConnection,
-        keep_ms: Option<u64>,
+        keep_alive_ms: Option<u64>,
     ) {
         if !connection.is_reusable() {
             return;
         }
-        let use_ms = keep_ms.map_or(UNTOLD_KEEP_MS, |ms| ms.saturating_sub(KEEP_MARGIN_MS));
+        let reuse_ms = keep_alive_ms.map_or(DEFAULT_KEEP_ALIVE_MS, |ms| {
+            ms.saturating_sub(KEEP_ALIVE_MARGIN_MS)
+        });
         connection.is_reused = true;
         let mut idle = self.lock();
         let connections = idle.entry(address).or_default();
-        if connections.len() < MOST_IDLE {
+        if connections.len() < MAX_IDLE_CONNECTIONS {
             connections.push(Idle {
                 connection,
-                use_before: now + use_ms,
+                expires_at: now + reuse_ms,
             });
         }
     }
 
-    /// Closes connections that aren't used any more.
-    pub fn forget_old(&self, now: MonoMs) {
+    /// Closes connections that are too old for reuse.
+    pub fn evict_expired(&self, now: MonoMs) {
         let mut idle = self.lock();
         for connections in idle.values_mut() {
-            connections.retain(|idle| idle.use_before > now);
+            connections.retain(|idle| idle.expires_at > now);
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
