--- a/crates/daemon/src/app/run.rs
+++ b/crates/daemon/src/app/run.rs
@@ -35,7 +35,7 @@
         Source::File { settings } => start_by_records(&settings, args.check),
         Source::Platform => entry::run(&EntryOptions {
             check: args.check,
-            without: args.without.into_iter().collect(),
+            disabled: args.without.into_iter().collect(),
             metrics_port: args.metrics_port,
         }),
     }
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -39,7 +39,7 @@
     /// Whether the process only checks the settings and exits.
     pub check: bool,
     /// Mechanisms of the decisions that are disabled.
-    pub without: DisabledMechanisms,
+    pub disabled: DisabledMechanisms,
     /// Port of the metrics; `None` for the one in the settings.
     pub metrics_port: Option<u16>,
 }
@@ -246,7 +246,7 @@
 ) -> Result<(), DaemonError> {
     let signals = stop_signals()?;
     let entry = Entry::start(settings, Arc::clone(&clock)).await?;
-    entry.disable_mechanisms(options.without);
+    entry.disable_mechanisms(options.disabled);
     loop {
         let signalled = timeout(clock.as_ref(), SETTINGS_REREAD_INTERVAL_MS, signals.recv()).await;
         match signalled {
