--- a/crates/daemon/tests/entry.rs
+++ b/crates/daemon/tests/entry.rs
@@ -1,4 +1,4 @@
-//! An entry instance before stand-ins of the platform.
+//! Tests of an entry instance against stand-ins for the platform's store, targets and callers.
 
 #[path = "entry/bad_input.rs"]
 mod bad_input;
--- a/crates/daemon/tests/entry/bad_input.rs
+++ b/crates/daemon/tests/entry/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests that can't be served.
+//! Malformed, contradictory and too large requests.
 
 use {
     super::fixture::{World, target, world},
@@ -27,8 +27,8 @@
     )
 }
 
-/// A request is run that nobody sent: it hides in the body of another whose end two readers find
-/// at different places.
+/// Guards against request smuggling: a request hidden in the body of another one whose end two parsers
+/// find at different places.
 #[async_std::test]
 async fn requests_whose_end_is_not_clear_are_refused() {
     let (world, plain) = plain_world().await;
--- a/crates/daemon/tests/entry/calls.rs
+++ b/crates/daemon/tests/entry/calls.rs
@@ -46,8 +46,8 @@
     assert_eq!(arrived.header("Authorization"), None);
 }
 
-/// A parcel gets two labels: the target prints one and the connection breaks before its answer;
-/// the instance sends the call to the next target, which prints another.
+/// Guards against running a call twice: the connection breaks after the target has run the call but before
+/// its answer, and the instance sends the call to the next target.
 #[async_std::test]
 async fn a_call_that_may_have_run_is_not_sent_again() {
     let plain = [
@@ -63,8 +63,8 @@
     assert_eq!(arrivals, 1);
 }
 
-/// A caller is told that its label was not printed and may print another: the target worked on it
-/// for longer than the caller waits.
+/// Guards against an answer that promises that a call hasn't run, after its target has worked on it until the
+/// deadline.
 #[async_std::test]
 async fn a_call_that_runs_out_of_time_at_its_target_is_no_refusal() {
     let plain = target("p-1", Behaviour::Hang);
@@ -82,8 +82,8 @@
     assert_eq!((answer.status, plain.arrivals().len()), (504, 1));
 }
 
-/// A caller is told that its label was not printed, though it could have been: the first target is
-/// full and says so, and the second one is free.
+/// Guards against refusing a call after the first target confirmed that it is full, while another one is
+/// free.
 #[async_std::test]
 async fn a_call_that_a_full_target_turned_away_goes_to_another() {
     let plain = [
@@ -99,7 +99,7 @@
     let first = world.ask(&unsafe_call());
     let second = world.ask(&unsafe_call());
 
-    // Both targets turn one call away each: the first call meets both, or each call meets one.
+    // Each target refuses one call: the first call is refused by both, or each call by one.
     let statuses = [first.status, second.status];
     assert!(
         statuses == [503, 200] || statuses == [200, 200],
@@ -107,7 +107,7 @@
     );
 }
 
-/// A caller doesn't know whether its label was printed, though no target ran it: all said so.
+/// Guards against an unclear error for a call that all targets confirm not to have run.
 #[async_std::test]
 async fn a_call_that_no_target_ran_is_refused_with_a_time_to_come_back() {
     let plain = target("p-1", Behaviour::Shed);
@@ -144,8 +144,8 @@
     assert!(arrivals <= 4);
 }
 
-/// A caller gets the answer to another's request: a target answers twice, and the second answer
-/// lies on the kept connection when the next request is sent over it.
+/// Guards against a caller that gets the answer to another request: a target answers twice, and the second
+/// answer is waiting on the kept connection when the next request is sent.
 #[async_std::test]
 async fn a_second_answer_is_given_to_nobody() {
     let plain = target("p-1", Behaviour::Serve("second"));
@@ -159,7 +159,7 @@
     assert_eq!(second.body, "second");
 }
 
-/// As above, but the late answer comes where the next one is due.
+/// As above, but the stale answer arrives after the next request has been sent.
 #[async_std::test]
 async fn an_answer_to_another_request_is_passed_over() {
     let plain = target("p-1", Behaviour::ForeignFirst("listing"));
@@ -183,8 +183,8 @@
     );
 }
 
-/// A caller takes half a listing for a whole one: the target's connection ends before its answer
-/// does.
+/// Guards against passing on a truncated answer as a success, after the target's connection closed too
+/// early.
 #[async_std::test]
 async fn an_answer_that_is_cut_off_is_no_success() {
     let plain = target("p-1", Behaviour::Short("half"));
@@ -206,8 +206,8 @@
     assert_eq!(answer.header(SEAL_HEADER), None);
 }
 
-/// A caller believes that its label wasn't printed and asks for another: the target fails with a
-/// status that promises so, but doesn't say that it didn't run the call.
+/// Guards against passing on a status that promises that the call hasn't run, which the target doesn't confirm;
+/// a caller would send the call again.
 #[async_std::test]
 async fn a_status_that_promises_too_much_becomes_a_failure() {
     let plain = target("p-1", Behaviour::Fail(503));
@@ -218,8 +218,8 @@
     assert_eq!(answer.status, 502);
 }
 
-/// A label is printed by the wrong service: a target has ended, another has its address, and the
-/// instance hasn't heard of it. The other one says that it isn't meant.
+/// Guards against failed calls after a target has taken over the address of one that ended, before the instance
+/// knows of it. The target refuses the call as misdirected.
 #[async_std::test]
 async fn a_target_that_has_anothers_address_is_passed_over() {
     let plain = target("p-2", Behaviour::Serve("printed"));
@@ -232,7 +232,7 @@
     }
 }
 
-/// A target works for nobody: the caller closed its connection while its call was running.
+/// Guards against a target that keeps working after the caller has closed its connection.
 #[async_std::test]
 async fn a_caller_that_leaves_takes_its_call_with_it() {
     let plain = target("p-1", Behaviour::Hang);
@@ -246,8 +246,8 @@
     plain.wait_for_close();
 }
 
-/// A request that crashes each target that runs it takes all of them down while its caller repeats
-/// it. After three, it is kept from the others.
+/// Guards against a request that crashes each target that runs it, and takes down all of them while its caller
+/// retries. After three targets, it is refused.
 #[async_std::test]
 async fn a_call_that_breaks_all_targets_is_stopped() {
     let plain = ["p-1", "p-2", "p-3", "p-4", "p-5"].map(|id| target(id, Behaviour::LoseAnswer));
@@ -261,8 +261,8 @@
     assert_eq!(broken.count(), 3);
 }
 
-/// All callers of a popular listing are refused for a minute: one target broke off several of their
-/// requests, which are all alike, and none of them harms any target.
+/// Guards against refusing a popular call to all callers for a minute, after a single faulty target has broken
+/// off several identical requests.
 #[async_std::test]
 async fn a_popular_call_is_served_after_one_target_broke_it_off_again_and_again() {
     let bad = target("p-1", Behaviour::LoseAnswer);
