--- a/crates/daemon/src/entry/decision_line.rs
+++ b/crates/daemon/src/entry/decision_line.rs
@@ -213,7 +213,7 @@
         outcome: &'static str,
         /// Status sent to the caller, 0 if none.
         status: u16,
-        /// Reason, empty if a target's answer was passed on.
+        /// Reason; empty if a target's answer was passed on or the caller is gone.
         reason: String,
         /// Time from its first byte to the end of its answer, in ms.
         took_ms: u64,
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -37,7 +37,7 @@
     pub outcome: &'static str,
     /// Status sent to the caller, 0 if none.
     pub status: u16,
-    /// Reason, empty if a target's answer was passed on.
+    /// Reason; empty if a target's answer was passed on or the caller is gone.
     pub reason: String,
     /// Whether the caller's connection can serve another request.
     pub keeps_alive: bool,
--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -21,7 +21,7 @@
 const TICK_INTERVAL_MS: u64 = 250;
 /// Time between two checks for missing links while an instance starts, in ms.
 const STARTING_LINK_CHECK_INTERVAL_MS: u64 = 50;
-/// Gap between two iterations from which the process is taken to have been paused by its host, in ms.
+/// Gap between two iterations above which the process is taken to have been paused by its host, in ms.
 const MIN_PROCESS_PAUSE_MS: u64 = 700;
 
 /// Maintains the links to peers and sends news on them.
--- a/crates/daemon/src/entry/reservations.rs
+++ b/crates/daemon/src/entry/reservations.rs
@@ -66,7 +66,7 @@
             join(reservations.order_all(own), reservations.order_all(helpers)).await;
         helpers.map_err(AttemptFault::NoMemory)?;
         if let Err(fault) = own {
-            // The prompt is only read later at the answering engine without it.
+            // Not fatal: the prompt only loses its place in the answering engine's reading order.
             reservations.log_fault("isn't reserved at the answering engine", &fault);
             reservations.release_holds(reservations.own.iter());
             reservations.own = None;
@@ -131,8 +131,8 @@
                 self.log_fault("isn't renewed", &fault);
             }
             let kept_ms = self.state.now().since(began);
-            let is_look_up_due = now.since(checked_at) >= RENEW_INTERVAL_MS;
-            if kept_ms < USE_CHECK_AFTER_MS || was_used || !is_look_up_due {
+            let is_check_due = now.since(checked_at) >= RENEW_INTERVAL_MS;
+            if kept_ms < USE_CHECK_AFTER_MS || was_used || !is_check_due {
                 continue;
             }
             checked_at = now;
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -61,7 +61,7 @@
 }
 
 impl Entry {
-    /// Binds the listeners and spawns the tasks, which read the store first.
+    /// Binds the listeners, and spawns the tasks that read the store, link to peers and serve callers.
     ///
     /// # Errors
     /// An address can't be bound, a metric can't be registered or the log thread can't be started.
