--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -131,7 +131,7 @@
             context, answer, ..
         } = self;
         let prompt = context.caller.prompt?;
-        let most = prompt.most_answer_tokens;
+        let most = prompt.max_answer_tokens;
         let hint = prompt.answer_hint_tokens.unwrap_or(ASSUMED_ANSWER_TOKENS);
         let pause_limit_ms = context.route.pause_limit_ms.unwrap_or(MOST_PAUSE_MS);
         let (since, limit_ms) = match self.first_event_at {
