--- a/crates/cli/src/ask/batch.rs
+++ b/crates/cli/src/ask/batch.rs
@@ -83,9 +83,9 @@
     }
 
     fn to_text(&self) -> String {
-        let asked = self.completed + self.not_run + self.unknown;
+        let total = self.completed + self.not_run + self.unknown;
         format!(
-            "asked={asked} completed={} not_run={} unknown={}{}{}",
+            "asked={total} completed={} not_run={} unknown={}{}{}",
             self.completed,
             self.not_run,
             self.unknown,
--- a/crates/cli/src/ask/client.rs
+++ b/crates/cli/src/ask/client.rs
@@ -38,7 +38,7 @@
     /// once, except to resend a call with the ticket that the entry issued.
     ///
     /// Resending is safe even after a connection broke: prompts and idempotent calls may run twice, and
-    /// a non-idempotent call carries its ticket, which only the ticket's home can use, and only once.
+    /// a non-idempotent call carries its ticket, which only the daemon that issued it can use, and only once.
     pub async fn send(
         &self,
         request: &AskRequest,
@@ -148,8 +148,8 @@
     }
 
     /// Returns the outcome that holds for all attempts together. `not_run` from an entry covers only what
-    /// that entry received: if an earlier attempt broke off, that one may have run, and the outcome is
-    /// `unknown`.
+    /// that entry received: if the connection of an earlier attempt broke, that attempt may have run, and
+    /// the outcome is `unknown`.
     fn into_end(self) -> (Option<SocketAddr>, RequestEnd) {
         match (self.end, self.broken) {
             (Some((entry, end)), None) => (Some(entry), end),
--- a/crates/cli/src/ask/output.rs
+++ b/crates/cli/src/ask/output.rs
@@ -51,7 +51,7 @@
         self.streams && !self.text.is_empty()
     }
 
-    /// Discards the text of an answer that broke off, before a retry.
+    /// Discards the text of an incomplete answer, before a retry.
     pub fn clear(&mut self) {
         self.text.clear();
         self.first_text_at = None;
--- a/crates/cli/src/reports/losses.rs
+++ b/crates/cli/src/reports/losses.rs
@@ -23,7 +23,9 @@
     came_back: usize,
     refused: usize,
     failed: usize,
+    /// Requests whose answer ended before it was complete.
     cut: usize,
+    /// Requests whose caller disconnected.
     left: usize,
 }
 
--- a/crates/cli/src/reports/records.rs
+++ b/crates/cli/src/reports/records.rs
@@ -8,7 +8,7 @@
     },
 };
 
-/// Shows the records with the revision in force and the instances that hold it, or why one was rejected.
+/// Shows the records with the revision in force and the instances that store it, or why one was rejected.
 pub(crate) async fn show_records(entries: &EntryList, json: bool) -> Result<String, CliError> {
     let (report, raw) = fetch::<RecordsReport>(entries, RECORDS_REPORT_PATH).await?;
     if json {
@@ -19,13 +19,13 @@
         let in_force = record
             .in_force
             .map_or("-".to_owned(), |revision| revision.to_string());
-        let held_by: Vec<_> = record.instances.iter().map(InstanceName::as_str).collect();
-        let held_by = held_by.join(",");
+        let instances: Vec<_> = record.instances.iter().map(InstanceName::as_str).collect();
+        let instances = instances.join(",");
         table.push_row(&[
             &record.key,
             &record.revision,
             &in_force,
-            &held_by,
+            &instances,
             &state_text(&record.state),
         ]);
     }
--- a/crates/cli/tests/cli/ask.rs
+++ b/crates/cli/tests/cli/ask.rs
@@ -39,8 +39,11 @@
 }
 
 fn ticket_needed() -> Vec<u8> {
-    let more = format!(",\"ticket\":\"{TICKET}\"");
-    json_answer(428, &outcome_json(1, "not_run", "ticket_needed", &more))
+    let ticket_field = format!(",\"ticket\":\"{TICKET}\"");
+    json_answer(
+        428,
+        &outcome_json(1, "not_run", "ticket_needed", &ticket_field),
+    )
 }
 
 fn refusal(status: u16, reason: &str) -> Vec<u8> {
--- a/crates/cli/tests/cli/losses.rs
+++ b/crates/cli/tests/cli/losses.rs
@@ -74,7 +74,7 @@
 
 #[test]
 fn submissions_of_one_request_count_as_one() {
-    let directory = Directory::new("losses_tries");
+    let directory = Directory::new("losses_resubmitted");
     let log = directory.file("entry-1.log", RESUBMITTED_LINES);
 
     let run = whinlatch(&["losses", "--json", &log]);
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -377,6 +377,6 @@
     caller
         .send_text(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"))
         .ok()?;
-    let answer = caller.read()?;
-    (answer.status == 200).then_some(answer.body)
+    let response = caller.read()?;
+    (response.status == 200).then_some(response.body)
 }
--- a/crates/soak/src/instance.rs
+++ b/crates/soak/src/instance.rs
@@ -138,7 +138,7 @@
             LastCommand::Die => true,
         };
         let seen = format!(
-            "{} ended with {status} after it was told to {:?}",
+            "{} exited with {status}; its last command was {:?}",
             self.settings.name, self.last_command
         );
         (!is_expected).then(|| Finding::new("process ends only when told", seen))
@@ -152,7 +152,7 @@
         self.signal(Signal::TERM);
     }
 
-    /// Kills the process, from which any exit is expected then.
+    /// Kills the process. Any exit is expected after that.
     pub fn kill(&mut self) {
         self.last_command = LastCommand::Die;
         self.signal(Signal::KILL);
--- a/crates/soak/src/observations.rs
+++ b/crates/soak/src/observations.rs
@@ -68,13 +68,13 @@
     /// Run of the instance that it was sent to; `None` if the instance was restarted before the end.
     pub run: Option<InstanceRun>,
     /// Whether its connection had carried an earlier request.
-    pub was_kept: bool,
+    pub on_reused_connection: bool,
     /// When the caller began to send it.
     pub sent_at: Instant,
     /// When the response was complete, or the request had failed.
     pub ended_at: Instant,
     /// Whether the response announces that its target is leaving.
-    pub names_leaving: bool,
+    pub announces_leaving: bool,
     /// Result that the caller observed.
     pub outcome: Outcome,
 }
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -166,7 +166,7 @@
         return None;
     }
     let is_cut = match &request.outcome {
-        Outcome::NotSent | Outcome::Closed => !(request.was_kept && runs.is_empty()),
+        Outcome::NotSent | Outcome::Closed => !(request.on_reused_connection && runs.is_empty()),
         Outcome::Silent => true,
         Outcome::Left => false,
         Outcome::Answered {
@@ -208,7 +208,7 @@
         .map(|(id, runs)| {
             Finding::new(
                 "nothing is made up",
-                format!("{id} was never asked: {runs:?}"),
+                format!("{id} ran, but no caller sent it: {runs:?}"),
             )
         })
         .collect()
@@ -256,7 +256,7 @@
     for request in evidence
         .requests
         .iter()
-        .filter(|request| request.names_leaving)
+        .filter(|request| request.announces_leaving)
     {
         let runs = evidence
             .runs
@@ -332,7 +332,7 @@
     unreleased
         .filter(|ids| !ids.is_empty())
         .map(|ids| {
-            let seen = format!("{} were never given back: {ids:?}", ids.len());
+            let seen = format!("{} reservations were never released: {ids:?}", ids.len());
             Finding::new("memory comes back", seen)
         })
         .collect()
--- a/crates/soak/src/seed_run.rs
+++ b/crates/soak/src/seed_run.rs
@@ -148,7 +148,7 @@
             self.is_over.set();
             for caller in callers {
                 if caller.join().is_err() {
-                    self.note("callers understand answers", "a caller panicked".to_owned());
+                    self.add_finding("callers understand answers", "a caller panicked".to_owned());
                 }
             }
             self.check_all_serve();
@@ -161,7 +161,7 @@
         })
     }
 
-    fn note(&self, promise: &'static str, seen: String) {
+    fn add_finding(&self, promise: &'static str, seen: String) {
         lock(&self.findings).push(Finding::new(promise, seen));
     }
 
@@ -225,7 +225,7 @@
         for instance in 0..self.environment.instance_count() {
             if !self.wait_until(READY_TIMEOUT, || self.environment.is_ready(instance)) {
                 let seen = format!("instance {instance} is not ready {when}");
-                return self.note("service comes back", seen);
+                return self.add_finding("service comes back", seen);
             }
         }
     }
@@ -249,7 +249,7 @@
             let mut caller = SimulatedCaller::new(self.environment, 0);
             if !self.wait_until(READY_TIMEOUT, || caller.is_served_by(instance)) {
                 let seen = format!("instance {instance} serves nothing");
-                return self.note("service comes back", seen);
+                return self.add_finding("service comes back", seen);
             }
         }
     }
--- a/crates/soak/src/simulated_caller.rs
+++ b/crates/soak/src/simulated_caller.rs
@@ -34,7 +34,7 @@
     instance: usize,
     run: InstanceRun,
     /// Whether it has carried a request before.
-    has_carried: bool,
+    is_reused: bool,
 }
 
 /// A simulated caller with one connection at a time.
@@ -102,13 +102,13 @@
     /// Sends a request and returns its record; `None` if no instance accepts a connection.
     fn send(&mut self, kind: RequestKind, request: &CallerRequest) -> Option<RequestRecord> {
         let mut connection = self.connect()?;
-        let was_kept = connection.has_carried;
+        let on_reused_connection = connection.is_reused;
         let leaves = kind == RequestKind::Stream && self.rng.u8(..100) < LEAVE_PERCENT;
         let sent_at = Instant::now();
         let outcome = exchange(&mut connection.caller, request, leaves);
         let run = connection.run;
         let is_same_run = self.environment.current_run(connection.instance) == run;
-        connection.has_carried = true;
+        connection.is_reused = true;
         if outcome.keeps_open {
             self.connection = Some(connection);
         }
@@ -117,10 +117,10 @@
             kind,
             path: request.path.clone(),
             run: is_same_run.then_some(run),
-            was_kept,
+            on_reused_connection,
             sent_at,
             ended_at: Instant::now(),
-            names_leaving: outcome.names_leaving,
+            announces_leaving: outcome.announces_leaving,
             outcome: outcome.seen,
         })
     }
@@ -143,7 +143,7 @@
             caller,
             instance,
             run,
-            has_carried: false,
+            is_reused: false,
         })
     }
 
@@ -189,7 +189,7 @@
 /// Outcome of a request, and whether its connection can be reused.
 struct ExchangeResult {
     seen: Outcome,
-    names_leaving: bool,
+    announces_leaving: bool,
     keeps_open: bool,
 }
 
@@ -197,7 +197,7 @@
 fn exchange(caller: &mut Caller, request: &CallerRequest, leaves: bool) -> ExchangeResult {
     let failed = |seen| ExchangeResult {
         seen,
-        names_leaving: false,
+        announces_leaving: false,
         keeps_open: false,
     };
     if caller.send(request).is_err() {
@@ -209,7 +209,7 @@
         return failed(Outcome::Left);
     }
     let began = Instant::now();
-    let Some(answer) = caller.read() else {
+    let Some(response) = caller.read() else {
         let is_silent = began.elapsed() >= PATIENCE;
         return failed(if is_silent {
             Outcome::Silent
@@ -217,18 +217,18 @@
             Outcome::Closed
         });
     };
-    let keeps_open = answer.is_whole
-        && answer
+    let keeps_open = response.is_whole
+        && response
             .header("Connection")
             .is_none_or(|value| !value.eq_ignore_ascii_case("close"));
     ExchangeResult {
         keeps_open,
-        names_leaving: answer.header(LEAVING_HEADER).is_some(),
+        announces_leaving: response.header(LEAVING_HEADER).is_some(),
         seen: Outcome::Answered {
-            status: answer.status,
-            is_sealed: answer.header(SEAL_HEADER).is_some(),
-            is_whole: answer.is_whole,
-            body: answer.body,
+            status: response.status,
+            is_sealed: response.header(SEAL_HEADER).is_some(),
+            is_whole: response.is_whole,
+            body: response.body,
         },
     }
 }
--- a/crates/soak/src/target.rs
+++ b/crates/soak/src/target.rs
@@ -20,7 +20,7 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Percentage of its requests towards which a target with a trouble misbehaves.
+/// Percentage of its requests that a target with a trouble handles wrongly.
 const AFFECTED_PERCENT: u64 = 60;
 /// Smallest number of events of a stream.
 const MIN_EVENTS: u64 = 3;
@@ -222,7 +222,7 @@
     }
 }
 
-/// Hashes a text to a value that is the same in each process.
+/// Hashes a text. The value is the same in each process, so that a seed has the same effect again.
 fn hash(text: &str) -> u64 {
     xxh3_64(text.as_bytes())
 }
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/promises.rs
@@ -35,8 +35,8 @@
         kind,
         path: PATH.to_owned(),
         run: Some(RUN),
-        was_kept: false,
-        names_leaving: false,
+        on_reused_connection: false,
+        announces_leaving: false,
         sent_at,
         ended_at: sent_at + Duration::from_millis(20),
         outcome,
@@ -189,7 +189,7 @@
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_no_finding() {
     let call = RequestRecord {
-        was_kept: true,
+        on_reused_connection: true,
         ..request(RequestKind::Unsafe, Outcome::Closed)
     };
 
@@ -199,7 +199,7 @@
 #[test]
 fn a_request_to_a_leaving_target_is_found_on_the_instance_that_got_the_announcement() {
     let leaving = RequestRecord {
-        names_leaving: true,
+        announces_leaving: true,
         ..request(RequestKind::Safe, answered(200, ID))
     };
     let later = |run| RequestRecord {
--- a/crates/standins/src/engine/group.rs
+++ b/crates/standins/src/engine/group.rs
@@ -19,16 +19,16 @@
     let mut total: u64 = 0;
     for member in group {
         let path = format!("{RESERVATION_PATH}?id={}", member.reservation);
-        let held_tokens: u64 = timeout(PEER_TIMEOUT, get(member.address, &path))
+        let reserved_tokens: u64 = timeout(PEER_TIMEOUT, get(member.address, &path))
             .await
             .ok()??;
-        total += held_tokens;
+        total += reserved_tokens;
     }
     Some(total)
 }
 
 /// Drops the request when an engine of its group is gone or has released the reservation, since the part of
-/// the prompt that it held is lost.
+/// the prompt that it stored is lost.
 pub async fn watch_group(
     engine: Weak<Server<FakeEngine>>,
     attempt: AttemptId,
--- a/crates/standins/src/engine/report.rs
+++ b/crates/standins/src/engine/report.rs
@@ -5,7 +5,7 @@
 };
 
 impl FakeEngine {
-    /// Records a report for later readers, four per lag.
+    /// Records a report for later readers, at most four in the time of `report_lag_ms`.
     pub fn record_report(&mut self, now: Instant) {
         let lag = Duration::from_millis(self.options.report_lag_ms);
         if self
--- a/crates/standins/src/engine/routes.rs
+++ b/crates/standins/src/engine/routes.rs
@@ -46,7 +46,7 @@
 impl Fake for FakeEngine {
     type Stats = TargetStats;
 
-    async fn answer(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
+    async fn handle(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
         let now = Instant::now();
         match incoming.path.as_str() {
             GENERATE_PATH => generate(server, incoming.read().await?, incoming.connection).await,
--- a/crates/standins/src/engine/state.rs
+++ b/crates/standins/src/engine/state.rs
@@ -134,14 +134,14 @@
         Ok(receiver)
     }
 
-    /// Cancels an attempt; if it arrives only later, it is refused.
+    /// Cancels an attempt. One that arrives after its cancellation is refused.
     pub fn cancel(&mut self, attempt: AttemptId) {
         self.common.stats.cancels += 1;
         self.common.cancelled.insert(attempt);
         self.drop_request(attempt);
     }
 
-    /// Drops a request: refuses it while it waits, and breaks off its answer while it runs.
+    /// Drops a request: one that waits is refused, the answer of one that runs is aborted.
     pub fn drop_request(&mut self, attempt: AttemptId) {
         for request in self
             .waiting
@@ -179,7 +179,7 @@
     pub fn drop_expired(&mut self, now: Instant) {
         if self.options.enforces_deadlines {
             self.reservations
-                .retain(|_id, (expires_at, _held)| *expires_at > now);
+                .retain(|_id, (expires_at, _reservation)| *expires_at > now);
             for request in self
                 .waiting
                 .extract_if(.., |request| request.expires_at <= now)
--- a/crates/standins/src/platform/routes.rs
+++ b/crates/standins/src/platform/routes.rs
@@ -31,7 +31,7 @@
 impl Fake for FakePlatform {
     type Stats = PlatformStats;
 
-    async fn answer(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
+    async fn handle(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
         match incoming.path.as_str() {
             RECORDS_PATH => {
                 server.state().stats.record_reads += 1;
--- a/crates/standins/src/platform/view.rs
+++ b/crates/standins/src/platform/view.rs
@@ -41,8 +41,8 @@
 
     /// Returns the next page after a revision; `None` if the history since then was dropped.
     pub fn page(&self, after: Revision) -> Option<RecordPage> {
-        // The pages of a full read continue after revisions below `forgotten_until`, which are those of a
-        // record.
+        // A full read continues after the last record of the previous page, whose revision may be below
+        // `forgotten_until`.
         let is_known =
             after.0 == 0 || after >= self.forgotten_until || self.records.contains_key(&after);
         let mut page = RecordPage {
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -130,7 +130,7 @@
     link: Arc<Link>,
     /// How connections are ended while they are cut; `None` while they are forwarded.
     cut: Option<CutKind>,
-    /// Given to drop all open connections.
+    /// Notified to drop all open connections.
     drop_connections: Signal,
     accepted: u64,
     /// Flag of each open connection that makes it silent.
@@ -203,7 +203,7 @@
 impl Fake for FakeRelay {
     type Stats = RelayStats;
 
-    async fn answer(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
+    async fn handle(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
         if incoming.path != "/standin/mode" {
             return status(StatusCode::NotFound);
         }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,5 +1,5 @@
-//! Fake plain service whose calls aren't idempotent. It counts the runs of each call, so that tests find
-//! doubled ones.
+//! Fake plain service whose calls aren't idempotent. It counts the runs of each call, so that tests
+//! detect a call that ran twice.
 //!
 //! Control: `/standin/faults`, `/standin/silence`, `/standin/die` and `/standin/stats`, as with all
 //! fakes; the stats are [`TargetStats`].
@@ -95,7 +95,7 @@
 impl Fake for FakeService {
     type Stats = TargetStats;
 
-    async fn answer(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
+    async fn handle(server: &Arc<Server<Self>>, mut incoming: IncomingRequest) -> HandlerResult {
         match incoming.path.as_str() {
             CALL_PATH => run(server, &incoming.read().await?).await,
             CANCEL_PATH => {
--- a/crates/standins/src/signal.rs
+++ b/crates/standins/src/signal.rs
@@ -26,11 +26,11 @@
     now + Duration::from_millis(span_ms.min(DAY_MS))
 }
 
-/// Wakes all waiters; can be given any number of times.
+/// Wakes all waiters at each call of `notify`.
 #[derive(Debug)]
 pub struct Signal(Mutex<(Sender<()>, Receiver<()>)>);
 
-/// Waits for the next signal after its own creation.
+/// Waits for the first notification after its own creation.
 #[derive(Debug, Clone)]
 pub struct Waiter(Receiver<()>);
 
@@ -46,20 +46,20 @@
         *lock(&self.0) = async_channel::bounded(1);
     }
 
-    /// Creates a waiter. A signal given after this call isn't missed, even if the wait starts later.
+    /// Creates a waiter. It misses no notification after this call, even if the wait starts later.
     pub fn waiter(&self) -> Waiter {
         Waiter(lock(&self.0).1.clone())
     }
 }
 
 impl Waiter {
-    /// Returns when the signal is given or its owner is dropped.
+    /// Returns when the signal is notified or dropped.
     pub async fn wait(self) {
         // Nothing is sent over the channel, so this returns only when it is closed.
         let _closed = self.0.recv().await;
     }
 
-    /// Runs `work` until it completes or the signal is given, which drops it.
+    /// Runs `work` until it completes; drops it unfinished when the signal is notified or dropped.
     pub async fn run_until_signal(self, work: impl Future<Output = ()>) {
         select(pin!(self.wait()), pin!(work)).await;
     }
--- a/crates/standins/src/standin.rs
+++ b/crates/standins/src/standin.rs
@@ -1,4 +1,4 @@
-//! HTTP server that all fakes share, which can be frozen, silenced and killed.
+//! HTTP server that all fakes share, which can be frozen, silenced and crashed.
 
 use {
     crate::{
@@ -39,7 +39,7 @@
     type Stats: Serialize;
 
     /// Handles one request.
-    fn answer(
+    fn handle(
         server: &Arc<Server<Self>>,
         incoming: IncomingRequest,
     ) -> impl Future<Output = HandlerResult> + Send;
@@ -62,7 +62,7 @@
 pub struct Connection {
     /// Whether nothing is sent on the connection any more.
     silent: AtomicBool,
-    /// Whether the connection carries a control request, which outlives the death of the fake.
+    /// Whether the connection carries a control request, which outlives a crash of the fake.
     control: AtomicBool,
     freeze: Arc<Freeze>,
 }
@@ -81,7 +81,7 @@
 #[derive(Debug)]
 pub struct Server<F> {
     state: Mutex<F>,
-    /// Given when the state has changed in a way that tasks may wait for.
+    /// Notified when the state has changed in a way that tasks may wait for.
     pub changed: Signal,
     pub freeze: Arc<Freeze>,
     address: SocketAddr,
@@ -213,7 +213,7 @@
     fn spawn_listener(self: &Arc<Self>, listener: TcpListener) {
         let stopped = self.stop.waiter();
         // Connections share the waiter of the listener: with a waiter of its own, one that is accepted
-        // while the fake dies could miss the signal and outlive it.
+        // while the fake crashes could miss the signal and outlive it.
         let accept = Self::accept(Arc::downgrade(self), listener, stopped.clone());
         *lock(&self.accept_task) = Some(task::spawn(stopped.run_until_signal(accept)));
     }
@@ -248,7 +248,7 @@
         // Answers are sent in small pieces, which Nagle's algorithm would delay.
         let _best_effort = stream.set_nodelay(true);
         let answering = async_h1::accept(stream.clone(), |request| {
-            Self::answer(Weak::clone(&server), request, Arc::clone(&connection))
+            Self::handle(Weak::clone(&server), request, Arc::clone(&connection))
         });
         let disconnected = async {
             stopped
@@ -263,7 +263,7 @@
         future::select(pin!(answering), pin!(disconnected)).await;
     }
 
-    async fn answer(
+    async fn handle(
         server: Weak<Self>,
         request: Request,
         connection: Arc<Connection>,
@@ -272,14 +272,14 @@
         let path = request.url().path().to_owned();
         if path.starts_with(CONTROL_PREFIX) {
             connection.control.store(true, Ordering::SeqCst);
-            let answer = server
+            let result = server
                 .control(IncomingRequest {
                     path,
                     request,
                     connection,
                 })
                 .await;
-            let mut response = into_response(answer)?;
+            let mut response = into_response(result)?;
             // The connection of a control request outlives `crash` and must not carry further requests
             // afterwards.
             response.insert_header("connection", "close");
@@ -291,9 +291,9 @@
             request,
             connection: Arc::clone(&connection),
         };
-        let answer = F::answer(&server, incoming).await;
+        let result = F::handle(&server, incoming).await;
         connection.wait_while_blocked().await;
-        into_response(answer)
+        into_response(result)
     }
 
     async fn control(self: &Arc<Self>, mut incoming: IncomingRequest) -> HandlerResult {
@@ -302,7 +302,7 @@
             "/standin/silence" => self.silence_open(),
             "/standin/die" => self.crash(incoming.read().await?).await,
             "/standin/stats" => return ok(&self.state().stats()),
-            _ => return F::answer(self, incoming).await,
+            _ => return F::handle(self, incoming).await,
         }
         no_content()
     }
@@ -318,8 +318,8 @@
 }
 
 /// Converts the result of a handler into a response, or an error that closes the connection.
-fn into_response(answer: HandlerResult) -> http_types::Result<Response> {
-    match answer {
+fn into_response(result: HandlerResult) -> http_types::Result<Response> {
+    match result {
         Ok(response) => Ok(response),
         Err(HandlerError::CloseConnection) => Err(connection_aborted()),
         Err(HandlerError::BadRequest(message)) => {
--- a/crates/standins/src/target.rs
+++ b/crates/standins/src/target.rs
@@ -32,7 +32,7 @@
     /// Text that crashes the target if a prompt or call contains it: an engine when the prompt starts, a
     /// service after the call has run.
     pub crash_marker: Option<String>,
-    /// What follows such a crash.
+    /// Options of such a crash.
     pub crash: CrashOptions,
     /// Delay of orders in ms; they take effect even if the sender has disconnected.
     pub order_delay_ms: u64,
--- a/crates/standins/tests/standins/engine.rs
+++ b/crates/standins/tests/standins/engine.rs
@@ -75,14 +75,14 @@
 }
 
 #[async_std::test]
-async fn a_resumed_answer_continues_one_that_broke_off() {
+async fn a_resumed_answer_continues_an_aborted_one() {
     let (first, second) = (start(fast_engine()).await, start(fast_engine()).await);
     first.set_faults(Faults {
         answer: AnswerFault::BreakAfter(4),
         ..Faults::default()
     });
     let mut request = prompt(1, first.incarnation(), 1_000);
-    let broken_off = generate(first.address(), &request).await;
+    let aborted = generate(first.address(), &request).await;
     request.expect_incarnation = second.incarnation();
     let PromptEnd::Complete(whole) = generate(second.address(), &request).await else {
         panic!("the second engine has no fault")
@@ -91,7 +91,7 @@
 
     let resumed = generate(second.address(), &request).await;
 
-    assert_eq!(broken_off, PromptEnd::Broken);
+    assert_eq!(aborted, PromptEnd::Broken);
     assert_eq!(resumed, PromptEnd::Complete(whole[4..].to_vec()));
 }
 
@@ -105,7 +105,7 @@
         async move { generate(address, &request).await }
     });
     wait_until(|| engine.stats().running == 1).await;
-    let held_tokens = engine.stats().memory_used_tokens;
+    let used_tokens = engine.stats().memory_used_tokens;
 
     post(
         address,
@@ -117,7 +117,7 @@
     .await;
 
     let (running, late) = (running.await, generate(address, &request).await);
-    assert_eq!((held_tokens, engine.stats().memory_used_tokens), (1_010, 0));
+    assert_eq!((used_tokens, engine.stats().memory_used_tokens), (1_010, 0));
     assert_eq!(running, PromptEnd::Broken);
     assert_eq!(late, PromptEnd::Refused(RefusalReason::Expired));
     assert_eq!(engine.stats().runs_by_attempt[&request.attempt], 1);
@@ -222,7 +222,7 @@
     assert!(matches!(whole, PromptEnd::Complete(_)), "{whole:?}");
 }
 
-/// When an engine of a group dies, a part of the prompt is lost: the leading engine has to break off the
+/// When an engine of a group dies, a part of the prompt is lost: the leading engine has to abort the
 /// answer.
 #[async_std::test]
 async fn a_request_ends_when_an_engine_of_its_group_dies() {
@@ -268,11 +268,11 @@
         &reserve(7, &engine, 800, 60_000),
     )
     .await;
-    let held = engine.stats().memory_used_tokens;
+    let reserved_tokens = engine.stats().memory_used_tokens;
     post(engine.address(), RESERVE_PATH, &reserve(7, &engine, 800, 1)).await;
 
     wait_until(|| engine.stats().memory_used_tokens == 0).await;
-    assert_eq!(held, 800);
+    assert_eq!(reserved_tokens, 800);
 }
 
 #[async_std::test]
--- a/crates/standins/tests/standins/service.rs
+++ b/crates/standins/tests/standins/service.rs
@@ -34,12 +34,12 @@
     });
 
     let lost = post(service.address(), CALL_PATH, &label_call(1, incarnation)).await;
-    let doubled: Option<ServiceAnswer> =
+    let resent: Option<ServiceAnswer> =
         post_json(service.address(), CALL_PATH, &label_call(2, incarnation)).await;
 
     assert!(lost.is_none());
     assert_eq!(
-        doubled.map(|answer| answer.body),
+        resent.map(|answer| answer.body),
         Some("ran parcel 7".to_owned())
     );
     assert_eq!(service.stats().runs_by_key["parcel 7"], 2);
--- a/crates/wire/src/caller/headers.rs
+++ b/crates/wire/src/caller/headers.rs
@@ -4,8 +4,8 @@
 pub const CALLER_HEADER: &str = "whinlatch-caller";
 /// Header with the time allowed for the request, in whole milliseconds. Required.
 pub const DEADLINE_HEADER: &str = "whinlatch-deadline-ms";
-/// Header with a key chosen by the caller. A request that repeats a key gets the same ticket as
-/// long as the daemon that issued it runs.
+/// Header with a key chosen by the caller. A request that repeats a key gets the same ticket for as
+/// long as the daemon that issued the ticket runs.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header with the ticket of a non-repeatable request, as received in the 428 response.
 pub const TICKET_HEADER: &str = "whinlatch-ticket";
--- a/crates/wire/src/conf/reader/jsonc.rs
+++ b/crates/wire/src/conf/reader/jsonc.rs
@@ -12,6 +12,7 @@
     serde_json::Number,
 };
 
+/// Comments and trailing commas are accepted; names of fields must be in quotes, as in JSON.
 const PARSE_OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
--- a/crates/wire/src/peer/news.rs
+++ b/crates/wire/src/peer/news.rs
@@ -43,7 +43,7 @@
 pub enum MemberState {
     /// Considered alive.
     Alive,
-    /// Silent. Becomes [`MemberState::Dead`] unless the daemon contradicts with a higher version.
+    /// Silent. Becomes [`MemberState::Dead`] unless the daemon refutes it with a higher version.
     Suspect,
     /// Shutting down; accepts no new work.
     Leaving,
@@ -181,8 +181,8 @@
 pub struct PoisonNews {
     /// Hash of the request's account, path and body.
     pub fingerprint: u64,
-    /// Runs of targets that died while the request was in flight there, either alone or, being a
-    /// suspect already, beside others.
+    /// Runs of targets that died while the request was in flight there: as the only request, or
+    /// beside others if it was a suspect already.
     pub deaths: Vec<Incarnation>,
     /// Remaining time for which the deaths are remembered, in ms. 0 means that the request has
     /// since completed, so that these deaths had another cause.
--- a/crates/wire/src/record/policy.rs
+++ b/crates/wire/src/record/policy.rs
@@ -9,7 +9,7 @@
     pub long_first_token_weight: f64,
     /// Weight of the slowdown of short requests as an objective, 0 to 1.
     pub short_slowdown_weight: f64,
-    /// Number of tokens from which on a prompt is long.
+    /// Minimum number of tokens of a long prompt.
     pub long_prompt_tokens: u64,
     /// Budget of reads of the platform per second, for all daemons together.
     pub platform_reads_per_s: f64,
--- a/crates/wire/tests/decoders.rs
+++ b/crates/wire/tests/decoders.rs
@@ -305,12 +305,12 @@
     #[test]
     fn damaged_frames_do_not_panic(
         frame in frame(),
-        place in any::<prop::sample::Index>(),
+        index in any::<prop::sample::Index>(),
         byte in any::<u8>(),
     ) {
         let mut bytes = encode_frame(&frame).expect("the frame is small");
-        let place = place.index(bytes.len());
-        bytes[place] = byte;
+        let index = index.index(bytes.len());
+        bytes[index] = byte;
 
         if let Ok(decoded) = decode_frame(&bytes) {
             prop_assert!(encode_frame(&decoded).is_ok());
