--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -363,9 +363,10 @@
             reported.push(finding);
         }
     }
-    let more = counts
+    let capped = counts
         .into_iter()
         .filter(|(_, count)| *count > MAX_REPORTED_FINDINGS);
-    reported.extend(more.map(|(promise, count)| Finding::new(promise, format!("{count} in all"))));
+    reported
+        .extend(capped.map(|(promise, count)| Finding::new(promise, format!("{count} in all"))));
     reported
 }
--- a/crates/soak/src/seed_run.rs
+++ b/crates/soak/src/seed_run.rs
@@ -206,11 +206,11 @@
         Ok(())
     }
 
-    /// Polls a condition that other processes bring about, since they send no notification of it. Returns
-    /// whether it holds or the run is stopped; `timeout` only ends a run in which it never does.
-    fn wait_until(&self, timeout: Duration, mut holds: impl FnMut() -> bool) -> bool {
+    /// Polls a condition that depends on other processes, which send no notification of it. Returns true if
+    /// the condition holds or the run is stopped, and false after `timeout`, a bound against hanging.
+    fn wait_until(&self, timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
         let began = Instant::now();
-        while !holds() {
+        while !condition() {
             if began.elapsed() > timeout {
                 return false;
             }
