--- a/crates/soak/src/seed_run.rs
+++ b/crates/soak/src/seed_run.rs
@@ -148,7 +148,7 @@
             self.is_over.set();
             for caller in callers {
                 if caller.join().is_err() {
-                    self.note("callers understand answers", "a caller panicked".to_owned());
+                    self.add_finding("callers understand answers", "a caller panicked".to_owned());
                 }
             }
             self.check_all_serve();
@@ -161,7 +161,7 @@
         })
     }
 
-    fn note(&self, promise: &'static str, seen: String) {
+    fn add_finding(&self, promise: &'static str, seen: String) {
         lock(&self.findings).push(Finding::new(promise, seen));
     }
 
@@ -206,11 +206,11 @@
         Ok(())
     }
 
-    /// Polls a condition that other processes bring about, since they send no notification of it. Returns
-    /// whether it holds or the run is stopped; `timeout` only ends a run in which it never does.
-    fn wait_until(&self, timeout: Duration, mut holds: impl FnMut() -> bool) -> bool {
+    /// Polls a condition that depends on other processes, which send no notification of it. Returns true if
+    /// the condition holds or the run is stopped, and false after `timeout`, a bound against hanging.
+    fn wait_until(&self, timeout: Duration, mut condition: impl FnMut() -> bool) -> bool {
         let began = Instant::now();
-        while !holds() {
+        while !condition() {
             if began.elapsed() > timeout {
                 return false;
             }
@@ -225,7 +225,7 @@
         for instance in 0..self.environment.instance_count() {
             if !self.wait_until(READY_TIMEOUT, || self.environment.is_ready(instance)) {
                 let seen = format!("instance {instance} is not ready {when}");
-                return self.note("service comes back", seen);
+                return self.add_finding("service comes back", seen);
             }
         }
     }
@@ -249,7 +249,7 @@
             let mut caller = SimulatedCaller::new(self.environment, 0);
             if !self.wait_until(READY_TIMEOUT, || caller.is_served_by(instance)) {
                 let seen = format!("instance {instance} serves nothing");
-                return self.note("service comes back", seen);
+                return self.add_finding("service comes back", seen);
             }
         }
     }
