--- a/crates/daemon/src/entry/answers.rs
+++ b/crates/daemon/src/entry/answers.rs
@@ -29,12 +29,12 @@
     is_last: bool,
     has_begun: AtomicBool,
     may_have_run: AtomicBool,
-    progress: Mutex<Progress>,
+    progress: Mutex<RequestProgress>,
 }
 
 /// Progress of a request, for its log line.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Progress {
+pub struct RequestProgress {
     /// Time to the first event, in ms.
     pub first_event_ms: Option<u64>,
     /// Longest pause between two events, in ms.
@@ -56,7 +56,7 @@
     }
 
     /// Returns the progress so far.
-    pub fn progress(&self) -> Progress {
+    pub fn progress(&self) -> RequestProgress {
         *self.lock()
     }
 
@@ -78,11 +78,11 @@
         progress.longest_pause_ms = progress.longest_pause_ms.max(ms);
     }
 
-    fn lock(&self) -> MutexGuard<'_, Progress> {
+    fn lock(&self) -> MutexGuard<'_, RequestProgress> {
         self.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether some of it was written, so that no other answer can be sent.
+    /// Whether some of the answer was written, so that no other one can be sent.
     pub fn has_begun(&self) -> bool {
         self.has_begun.load(Ordering::Relaxed)
     }
@@ -119,7 +119,7 @@
         self.finish(head, &body).await
     }
 
-    /// Writes a target's whole answer.
+    /// Writes a target's complete answer.
     ///
     /// # Errors
     /// The connection broke.
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a target serve a request: the part that calls and streams share.
+//! One attempt to have a target serve a request: the steps that calls and streams have in common.
 
 use {
     super::{
@@ -13,7 +13,7 @@
 };
 
 /// Answers to other requests that are skipped before the connection is closed.
-const MAX_FOREIGN_ANSWERS: usize = 2;
+const MAX_MISMATCHED_ANSWERS: usize = 2;
 
 /// Reason for a failed attempt.
 #[derive(Debug, thiserror::Error)]
@@ -36,10 +36,10 @@
     /// Memory that the prompt needs couldn't be reserved at a helper, so nothing was sent.
     #[error("no memory could be reserved: {0}")]
     NoMemory(String),
-    /// Nothing arrived for longer than a healthy target takes.
+    /// Nothing arrived for longer than a healthy target takes, or the target is unreachable.
     #[error("the target is silent")]
     Silent,
-    /// The target accepted the request but hasn't begun to work on it.
+    /// The engine accepted the prompt, but its reports don't show that it uses the memory reserved for it.
     #[error("the target doesn't begin to work on it")]
     Idle,
     /// The answer is a success without a seal, so it doesn't come from the target.
@@ -47,7 +47,7 @@
     Unsealed,
     /// Only answers to other requests arrived.
     #[error("the target sent answers to other requests")]
-    Foreign,
+    Mismatched,
 }
 
 /// Answer of a target which confirms that it hasn't run a request and won't.
@@ -84,13 +84,14 @@
     fn is_crash(&self, was_reused: bool) -> bool {
         match self {
             Self::Broken(TargetFault::Io(_) | TargetFault::Closed) => !was_reused,
-            Self::Broken(TargetFault::Body(fault)) => *fault == super::http::BodyFault::CutOff,
+            Self::Broken(TargetFault::Body(fault)) => *fault == super::http::BodyFault::Truncated,
             _ => false,
         }
     }
 }
 
-/// Records, for all instances, that a target broke off its work on a request, unless `fault` is no crash.
+/// Records, for all instances, that a request seems to have crashed its target. Does nothing if `fault` is no
+/// crash.
 pub fn record_crash(
     state: &EntryState,
     context: &RequestContext,
@@ -139,14 +140,14 @@
 ) -> Result<ResponseHead, AttemptFault> {
     let sent_at = state.now();
     connection.send(bytes).await?;
-    for _ in 0..=MAX_FOREIGN_ANSWERS {
+    for _ in 0..=MAX_MISMATCHED_ANSWERS {
         let head = connection.head(&context.head.method).await?;
         let answer = TargetResponse::read(head.status, head.pairs());
-        let is_foreign = answer
+        let is_mismatched = answer
             .request_id
             .is_some_and(|id| id != context.caller.request_id);
-        if is_foreign {
-            connection.whole_body(&head).await?;
+        if is_mismatched {
+            connection.complete_body(&head).await?;
             continue;
         }
         state.apply_notice(sent_at, &target.id, &answer.notice);
@@ -162,5 +163,5 @@
         }
         return Ok(head);
     }
-    Err(AttemptFault::Foreign)
+    Err(AttemptFault::Mismatched)
 }
--- a/crates/daemon/src/entry/caller_connection.rs
+++ b/crates/daemon/src/entry/caller_connection.rs
@@ -7,7 +7,8 @@
         entry_state::EntryState,
         exchange::exchange,
         http::{
-            BodyDecoder, BodyFault, Framing, HeadFault, Input, Progress, RequestHead, find_head_end,
+            BodyDecoder, BodyFault, BodyProgress, Framing, HeadFault, Input, RequestHead,
+            find_head_end,
         },
         request_context::ReadRequest,
     },
@@ -22,7 +23,7 @@
 
 /// Time that sent bytes may stay unacknowledged before the connection is taken as broken.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest pause between two parts of a body, in ms. Bodies are small for the callers' bandwidth.
+/// Timeout for the next bytes of a body, in ms. It is ample, since bodies are small for the callers' bandwidth.
 const BODY_PAUSE_TIMEOUT_MS: u64 = 5_000;
 
 /// Reason why a request couldn't be read.
@@ -30,7 +31,7 @@
 enum ReadFault {
     /// The caller closed the connection, or left it idle for too long.
     #[error("the connection is closed")]
-    Finished,
+    Closed,
     #[error("the request came too slowly: send it at once")]
     Slow,
     #[error("the body is too large: send less")]
@@ -44,7 +45,7 @@
 impl ReadFault {
     fn status(&self) -> Option<u16> {
         match self {
-            Self::Finished | Self::Body(BodyFault::CutOff) => None,
+            Self::Closed | Self::Body(BodyFault::Truncated) => None,
             Self::Slow => Some(408),
             Self::BodyTooLarge => Some(413),
             Self::Head(HeadFault::TooLarge) => Some(431),
@@ -76,7 +77,8 @@
     }
 }
 
-/// Answers with the error in what was read. The connection closes, since the next request can't be found on it.
+/// Answers with the reason why a request can't be read. The connection is closed, since it is unknown where the
+/// next request begins.
 async fn reject(stream: &TcpStream, fault: &ReadFault) {
     if let Some(status) = fault.status() {
         let answer = CallerAnswer::new(stream, true);
@@ -100,7 +102,7 @@
     if head.waits_for_continue {
         let mut stream = stream;
         let continued = stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        continued.map_err(|_gone| ReadFault::Finished)?;
+        continued.map_err(|_gone| ReadFault::Closed)?;
     }
     let body = read_body(state, stream, input, &head, &limits).await?;
     Ok(ReadRequest {
@@ -128,7 +130,7 @@
         let filled = input.fill(stream);
         match timeout(state.clock.as_ref(), limits.idle_timeout_ms, filled).await {
             Some(Ok(count)) if count > 0 => {}
-            Some(Ok(_) | Err(_)) | None => return Err(ReadFault::Finished),
+            Some(Ok(_) | Err(_)) | None => return Err(ReadFault::Closed),
         }
     }
     Ok(state.now())
@@ -152,7 +154,7 @@
             return Err(HeadFault::TooLarge.into());
         }
         match input.fill(stream).await {
-            Ok(0) | Err(_) => return Err(ReadFault::Finished),
+            Ok(0) | Err(_) => return Err(ReadFault::Closed),
             Ok(_) => {}
         }
     }
@@ -177,13 +179,13 @@
         if body.len() > limits.max_body_bytes {
             return Err(ReadFault::BodyTooLarge);
         }
-        if progress == Progress::Whole {
+        if progress == BodyProgress::Complete {
             return Ok(body);
         }
         let filled = input.fill(stream);
         match timeout(state.clock.as_ref(), BODY_PAUSE_TIMEOUT_MS, filled).await {
             Some(Ok(count)) if count > 0 => {}
-            Some(Ok(_) | Err(_)) => return Err(BodyFault::CutOff.into()),
+            Some(Ok(_) | Err(_)) => return Err(BodyFault::Truncated.into()),
             None => return Err(ReadFault::Slow),
         }
     }
--- a/crates/daemon/src/entry/decision_line.rs
+++ b/crates/daemon/src/entry/decision_line.rs
@@ -33,7 +33,7 @@
     },
     /// The process exits.
     Stopped {
-        /// Requests still open, which are cut off.
+        /// Requests still open; their connections are closed.
         open_requests: usize,
     },
     /// The settings were read again and have changed, or can't be read.
@@ -94,7 +94,7 @@
         target: String,
         /// Requests per second that the target takes from all instances together, if it names a limit.
         limit_per_s: Option<f64>,
-        /// Whether the target is leaving.
+        /// Whether the target announced that it is leaving.
         is_leaving: bool,
         /// Pause that it asks of this instance, in ms.
         retry_after_ms: Option<u64>,
--- a/crates/daemon/src/entry/directory.rs
+++ b/crates/daemon/src/entry/directory.rs
@@ -17,7 +17,7 @@
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Timeout for a query to arrive, also for the next one on the same connection, in ms.
 const QUERY_TIMEOUT_MS: u64 = 10_000;
-/// Path of the metrics.
+/// Path at which Prometheus reads the metrics.
 const METRICS_PATH: &str = "/metrics";
 
 /// Accepts connections with queries forever.
--- a/crates/daemon/src/entry/engine_reports.rs
+++ b/crates/daemon/src/entry/engine_reports.rs
@@ -14,8 +14,8 @@
     whinlatch_serving::targets::TargetEntry,
 };
 
-/// Time between two reports of an engine, in ms. An engine that has become slow is avoided within it; each
-/// report is charged like a health check.
+/// Time between two reports of an engine, in ms. An engine that has become slow is avoided after this time at
+/// the latest; each report is charged like a health check.
 const REPORT_INTERVAL_MS: u64 = 2_000;
 /// Timeout for a report, in ms.
 const REPORT_TIMEOUT_MS: u64 = 300;
--- a/crates/daemon/src/entry/entry_state.rs
+++ b/crates/daemon/src/entry/entry_state.rs
@@ -102,10 +102,10 @@
 
     /// Replaces the seed peers. Returns whether they differ from the former ones.
     pub fn set_seed_peers(&self, seed_peers: Vec<SocketAddr>) -> bool {
-        let held = self.seed_peers.lock();
-        let mut held = held.unwrap_or_else(PoisonError::into_inner);
-        let former = std::mem::replace(&mut *held, seed_peers);
-        former != *held
+        let current = self.seed_peers.lock();
+        let mut current = current.unwrap_or_else(PoisonError::into_inner);
+        let former = std::mem::replace(&mut *current, seed_peers);
+        former != *current
     }
 
     /// Returns the current time of the clock.
--- a/crates/daemon/src/entry/event_splitter.rs
+++ b/crates/daemon/src/entry/event_splitter.rs
@@ -1,7 +1,7 @@
 /// Splits a stream of server-sent events into complete events.
 ///
-/// Guards against a target that stops in the middle of an event: the caller would get half an event,
-/// and the whole one behind it from the target that resumes the stream.
+/// Guards against a target that stops in the middle of an event: the caller would get a part of the event, and
+/// then the complete event from the target that resumes the stream.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: Vec<u8>,
@@ -20,12 +20,12 @@
     }
 
     /// Takes all complete events, byte for byte; `None` if there is none.
-    pub fn take_whole(&mut self) -> Option<Vec<u8>> {
+    pub fn take_complete(&mut self) -> Option<Vec<u8>> {
         let end = last_event_end(&self.pending)?;
         let rest = self.pending.split_off(end);
-        let whole = std::mem::replace(&mut self.pending, rest);
-        self.record_ids(&whole);
-        Some(whole)
+        let complete = std::mem::replace(&mut self.pending, rest);
+        self.record_ids(&complete);
+        Some(complete)
     }
 
     /// Takes the bytes after the last complete event, at the end of a complete stream.
@@ -39,8 +39,8 @@
         self.pending.clear();
     }
 
-    fn record_ids(&mut self, whole: &[u8]) {
-        for line in whole.split(|byte| *byte == b'\n') {
+    fn record_ids(&mut self, complete: &[u8]) {
+        for line in complete.split(|byte| *byte == b'\n') {
             let Some(value) = line.strip_prefix(b"id:") else {
                 continue;
             };
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -19,15 +19,15 @@
     whinlatch_serving::Refusal,
 };
 
-/// Time before a request's deadline at which it is ended if it has no answer, in ms, so that the
-/// error reaches the caller while it still waits.
+/// An unanswered request is ended this long before its deadline, in ms, so that the error reaches the caller
+/// while it still waits.
 const ANSWER_MARGIN_MS: u64 = 30;
 /// Bytes of pipelined requests that are buffered while one is being served.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
-/// Longest time that a request waits for a configuration, in ms: half of the shortest time after
-/// which callers abandon a stream that doesn't begin.
+/// Longest time that a request waits for a configuration, in ms: callers abandon a stream that doesn't begin
+/// after twice this time at the earliest.
 const MAX_CONFIGURATION_WAIT_MS: u64 = 1_000;
-/// A request waits for a configuration for its deadline divided by this at most.
+/// The wait for a configuration is also limited to the request's deadline divided by this.
 const CONFIGURATION_WAIT_DIVISOR: u64 = 4;
 
 /// How a request ended.
@@ -44,7 +44,7 @@
 }
 
 impl RequestEnd {
-    /// A target's whole answer was passed on.
+    /// A target's answer was passed on completely.
     pub fn answered(status: u16) -> Self {
         Self {
             outcome: "answered",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether a target's whole answer was passed on and its status is a success.
+    /// Whether a target's answer was passed on completely and its status is a success.
     fn is_success(&self) -> bool {
         self.outcome == "answered" && self.status < 300
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Answers with an error of this system, or cuts off an answer that has begun.
+    /// Answers with an error of this system, or ends the connection if the answer has begun.
     pub async fn error(
         answer: &CallerAnswer<'_>,
         status: u16,
@@ -113,7 +113,7 @@
             return Self::error(answer, 502, message, None).await;
         }
         let retry_after_ms = refusal.retry_after_ms();
-        let max_ms = context.due.since(context.arrived) / RETRY_AFTER_DIVISOR;
+        let max_ms = context.deadline.since(context.arrived) / RETRY_AFTER_DIVISOR;
         let retry_after_ms = retry_after_ms.map(|ms| ms.min(max_ms));
         state.log(&Decision::Refused {
             request: context.caller.request_id.clone(),
@@ -238,16 +238,16 @@
     let ended = {
         let work = work.fuse();
         let gone = caller_gone(stream, input).fuse();
-        let due_ms = context.due.since(state.now());
-        let due = state
+        let left_ms = context.deadline.since(state.now());
+        let timed_out = state
             .clock
-            .sleep(due_ms.saturating_sub(ANSWER_MARGIN_MS))
+            .sleep(left_ms.saturating_sub(ANSWER_MARGIN_MS))
             .fuse();
-        pin_mut!(work, gone, due);
+        pin_mut!(work, gone, timed_out);
         select! {
             ended = work => Some(ended),
             () = gone => Some(RequestEnd::caller_gone()),
-            () = due => None,
+            () = timed_out => None,
         }
     };
     match ended {
--- a/crates/daemon/src/entry/http/body_decoder.rs
+++ b/crates/daemon/src/entry/http/body_decoder.rs
@@ -16,16 +16,16 @@
     Malformed(&'static str),
     /// The connection ended before the body was complete.
     #[error("the body is cut off")]
-    CutOff,
+    Truncated,
 }
 
-/// Progress of a body.
+/// State of a body that is being received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Progress {
+pub enum BodyProgress {
     /// More bytes are expected.
     More,
     /// The body is complete.
-    Whole,
+    Complete,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,10 +36,10 @@
     ChunkEnd,
     Trailer,
     UntilClose,
-    Whole,
+    Complete,
 }
 
-/// Decodes a body incrementally, by its framing.
+/// Removes the framing from a body as its bytes arrive.
 #[derive(Debug)]
 pub struct BodyDecoder {
     state: State,
@@ -49,7 +49,7 @@
     /// Creates a decoder at the start of a body.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
-            Framing::Empty | Framing::Length(0) => State::Whole,
+            Framing::Empty | Framing::Length(0) => State::Complete,
             Framing::Length(length) => State::Length(length),
             Framing::Chunked => State::ChunkLine,
             Framing::UntilClose => State::UntilClose,
@@ -57,15 +57,19 @@
         Self { state }
     }
 
-    /// Decodes the available input and appends it to `out`.
+    /// Consumes what has arrived of the body and appends it to `out` without its framing.
     ///
     /// # Errors
     /// [`BodyFault::Malformed`].
-    pub fn decode(&mut self, input: &mut Input, out: &mut Vec<u8>) -> Result<Progress, BodyFault> {
+    pub fn decode(
+        &mut self,
+        input: &mut Input,
+        out: &mut Vec<u8>,
+    ) -> Result<BodyProgress, BodyFault> {
         loop {
             let advanced = match self.state {
-                State::Whole => return Ok(Progress::Whole),
-                State::Length(left) => self.take(input, out, left, State::Length, State::Whole),
+                State::Complete => return Ok(BodyProgress::Complete),
+                State::Length(left) => self.take(input, out, left, State::Length, State::Complete),
                 State::Chunk(left) => self.take(input, out, left, State::Chunk, State::ChunkEnd),
                 State::UntilClose => {
                     out.extend_from_slice(input.as_slice());
@@ -77,7 +81,7 @@
                 State::Trailer => self.trailer(input)?,
             };
             if !advanced {
-                return Ok(Progress::More);
+                return Ok(BodyProgress::More);
             }
         }
     }
@@ -85,11 +89,11 @@
     /// Handles an orderly end of the connection.
     ///
     /// # Errors
-    /// [`BodyFault::CutOff`] if the body isn't complete.
+    /// [`BodyFault::Truncated`] if the body isn't complete.
     pub fn end(&mut self) -> Result<(), BodyFault> {
         match self.state {
-            State::Whole | State::UntilClose => Ok(()),
-            _ => Err(BodyFault::CutOff),
+            State::Complete | State::UntilClose => Ok(()),
+            _ => Err(BodyFault::Truncated),
         }
     }
 
@@ -141,7 +145,7 @@
     fn trailer(&mut self, input: &mut Input) -> Result<bool, BodyFault> {
         while let Some(line) = line(input, MAX_TRAILER_BYTES)? {
             if line.is_empty() {
-                self.state = State::Whole;
+                self.state = State::Complete;
                 return Ok(true);
             }
         }
--- a/crates/daemon/src/entry/http/input.rs
+++ b/crates/daemon/src/entry/http/input.rs
@@ -8,7 +8,7 @@
     },
 };
 
-/// Bytes per read.
+/// Limit for the bytes of one read.
 const READ_BYTES: usize = 16 * 1024;
 
 /// Buffer of received bytes that haven't been consumed.
--- a/crates/daemon/src/entry/http/response_head.rs
+++ b/crates/daemon/src/entry/http/response_head.rs
@@ -3,7 +3,7 @@
     request_head::{MAX_HEADERS, has_token, owned_headers, parse_length, values},
 };
 
-/// First status of a success.
+/// Lowest status of a success; those below are interim answers.
 const OK: u16 = 200;
 /// Statuses of answers without a body.
 const NO_BODY: [u16; 2] = [204, 304];
--- a/crates/daemon/src/entry/links/frame_codec.rs
+++ b/crates/daemon/src/entry/links/frame_codec.rs
@@ -42,9 +42,9 @@
     if bytes.len() < COMPRESSION_THRESHOLD_BYTES {
         return Ok(Bytes::from(bytes));
     }
-    let mut packed = ZlibEncoder::new(Vec::new(), Compression::fast());
-    packed.write_all(&bytes)?;
-    Ok(Bytes::from(packed.finish()?))
+    let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(&bytes)?;
+    Ok(Bytes::from(encoder.finish()?))
 }
 
 /// Decodes a frame. The decompressed size is limited to [`MAX_FRAME_BYTES`]; a larger frame fails to decode.
--- a/crates/daemon/src/entry/links/outgoing.rs
+++ b/crates/daemon/src/entry/links/outgoing.rs
@@ -30,7 +30,7 @@
 /// Time that a frame may stay unacknowledged: a silent link is closed while most instances still count
 /// the peer as live.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before a link may be opened again, in ms.
+/// Delay before a link that broke or failed to open may be opened again, in ms.
 const REOPEN_DELAY_MS: u64 = 300;
 /// The same while an instance starts, in ms.
 const STARTING_REOPEN_DELAY_MS: u64 = 50;
@@ -43,7 +43,7 @@
 }
 
 impl OpenTimes {
-    fn of(state: &EntryState) -> Self {
+    fn current(state: &EntryState) -> Self {
         if state.is_starting() {
             return Self {
                 open_timeout_ms: STARTING_OPEN_TIMEOUT_MS,
@@ -66,7 +66,7 @@
     queue: Receiver<Bytes>,
 ) {
     let clock = state.clock.as_ref();
-    let times = OpenTimes::of(&state);
+    let times = OpenTimes::current(&state);
     let opened = timeout(clock, times.open_timeout_ms, open(&state, address)).await;
     let Some(Ok(mut socket)) = opened else {
         state.serving().on_link_lost(state.now(), address);
--- a/crates/daemon/src/entry/links/peer_links.rs
+++ b/crates/daemon/src/entry/links/peer_links.rs
@@ -16,7 +16,7 @@
     },
 };
 
-/// Frames queued for a slow peer; when there are more, the link is closed and opened again.
+/// Limit for the frames queued for a slow peer. A link whose queue is full is closed and opened again.
 const MAX_QUEUED_FRAMES: usize = 256;
 
 /// Outgoing links to peers, and the requests that wait for their responses.
--- a/crates/daemon/src/entry/links/pending_requests.rs
+++ b/crates/daemon/src/entry/links/pending_requests.rs
@@ -27,7 +27,7 @@
     requests: &'a PendingRequests<K, V>,
     key: K,
     /// Receives the response, at most one.
-    pub answer: Receiver<V>,
+    pub response: Receiver<V>,
 }
 
 impl<K: Eq + Hash, V> Drop for PendingRequest<'_, K, V> {
@@ -39,19 +39,19 @@
 impl<K: Eq + Hash + Copy, V> PendingRequests<K, V> {
     /// Registers a request. Called before the request is sent, so that no response is missed.
     pub fn begin(&self, key: K) -> PendingRequest<'_, K, V> {
-        let (sender, answer) = async_channel::bounded(1);
+        let (sender, response) = async_channel::bounded(1);
         self.lock().insert(key, sender);
         PendingRequest {
             requests: self,
             key,
-            answer,
+            response,
         }
     }
 
     /// Passes a response to the request that waits for it; drops it if there is none any more.
-    pub fn complete(&self, key: &K, answer: V) {
+    pub fn complete(&self, key: &K, response: V) {
         if let Some(sender) = self.lock().remove(key) {
-            let _late = sender.try_send(answer);
+            let _late = sender.try_send(response);
         }
     }
 }
--- a/crates/daemon/src/entry/memory_hold.rs
+++ b/crates/daemon/src/entry/memory_hold.rs
@@ -7,7 +7,7 @@
 /// Memory reserved at one engine.
 #[derive(Debug)]
 pub struct MemoryHold {
-    /// The engine, as of the placement; a restart since can be told by it.
+    /// The engine as of the placement, by which a later restart is detected.
     pub engine: TargetEntry,
     /// Size of the reservation, in tokens.
     pub tokens: u64,
--- a/crates/daemon/src/entry/placing.rs
+++ b/crates/daemon/src/entry/placing.rs
@@ -10,11 +10,11 @@
     },
 };
 
-/// Timeout for a peer's decision, in ms: two network crossings, and the time until a small instance gets
-/// to it. After two timeouts the prompt still has most of its time.
+/// Timeout for a peer's decision, in ms: two network crossings, and the time that a small instance
+/// takes to process it. After two timeouts the prompt still has most of its time.
 const PLACEMENT_TIMEOUT_MS: u64 = 40;
-/// Peers that are asked one after the other before this instance chooses from its own knowledge.
-const MAX_ASKED_PEERS: usize = 2;
+/// Deciders that are asked one after the other before this instance chooses from its own knowledge.
+const MAX_ASKED_DECIDERS: usize = 2;
 
 /// Chooses engines that permit a prompt, and counts it towards their load until the guard is dropped.
 ///
@@ -79,7 +79,7 @@
     request: &PromptRequest,
 ) -> Result<PromptPlacement, Refusal> {
     let deciders = state.serving().deciders(group);
-    for peer in deciders.into_iter().take(MAX_ASKED_PEERS) {
+    for peer in deciders.into_iter().take(MAX_ASKED_DECIDERS) {
         let Some(decision) = request_placement(state, peer, job, group, request).await else {
             continue;
         };
@@ -96,7 +96,7 @@
         .ok_or(Refusal::NoTarget)
 }
 
-/// Asks a peer to choose. `None` if it doesn't answer in time, since it is gone or overloaded.
+/// Asks a peer to choose. `None` if it doesn't respond in time, which means that it is gone or overloaded.
 async fn request_placement(
     state: &EntryState,
     peer: SocketAddr,
@@ -104,7 +104,7 @@
     group: EngineGroup,
     request: &PromptRequest,
 ) -> Option<Result<Placement, Refusal>> {
-    let awaited = state.links.placements.begin(job);
+    let pending = state.links.placements.begin(job);
     state.serving().record_placement_request(job, group);
     let frame = Frame {
         placement_request: Some(PlacementRequest {
@@ -116,10 +116,10 @@
         ..Frame::default()
     };
     state.send(&[peer], &frame);
-    let answered = timeout(
+    let received = timeout(
         state.clock.as_ref(),
         PLACEMENT_TIMEOUT_MS,
-        awaited.answer.recv(),
+        pending.response.recv(),
     );
-    Some(answered.await?.ok()?.placement)
+    Some(received.await?.ok()?.placement)
 }
--- a/crates/daemon/src/entry/plain_calls.rs
+++ b/crates/daemon/src/entry/plain_calls.rs
@@ -21,9 +21,9 @@
 /// Targets that are tried before the request fails.
 const MAX_TARGETS: usize = 4;
 
-/// Complete answer of a target.
+/// A target's answer, received completely.
 #[derive(Debug)]
-struct WholeAnswer {
+struct CompleteAnswer {
     head: ResponseHead,
     body: Vec<u8>,
 }
@@ -55,7 +55,7 @@
 ) -> RequestEnd {
     let mut tried: Vec<TargetId> = Vec::new();
     let mut runs = 0;
-    let mut failure: Option<WholeAnswer> = None;
+    let mut failure: Option<CompleteAnswer> = None;
     loop {
         let request = CallRequest {
             service: &context.service,
@@ -70,12 +70,14 @@
         let end = attempt(state, context, answer, &target).await;
         tried.push(target.id.clone());
         match end {
-            Ok(whole) if whole.head.status < 500 || !context.route.retry_policy.is_idempotent() => {
-                return pass_on(answer, &whole).await;
+            Ok(received)
+                if received.head.status < 500 || !context.route.retry_policy.is_idempotent() =>
+            {
+                return pass_on(answer, &received).await;
             }
-            Ok(whole) => {
+            Ok(received) => {
                 runs += 1;
-                failure = Some(whole);
+                failure = Some(received);
             }
             Err(fault) => {
                 runs += u32::from(fault.may_have_run());
@@ -119,7 +121,7 @@
     context: &RequestContext,
     answer: &CallerAnswer<'_>,
     target: &TargetEntry,
-) -> Result<WholeAnswer, AttemptFault> {
+) -> Result<CompleteAnswer, AttemptFault> {
     let mut guard = CallGuard {
         state,
         target: &target.id,
@@ -130,7 +132,7 @@
     let was_reused = connection.is_reused;
     let now = state.now();
     let bytes = context.for_target(&TargetHead {
-        left_ms: context.due.since(now),
+        left_ms: context.deadline.since(now),
         target: target.name(),
         account: context.account.as_deref(),
         last_event_id: None,
@@ -144,37 +146,37 @@
         target: target.id.to_string(),
         helpers: Vec::new(),
         expected_ms: 0,
-        slack_ms: context.due.since(now).cast_signed(),
+        slack_ms: context.deadline.since(now).cast_signed(),
         pause_limit_ms: None,
         fingerprint: context.fingerprint_text(),
         attempt: answer.record_send(),
         inputs: None,
     });
     answer.set_may_have_run(true);
-    let whole = exchange_whole(state, context, target, connection, &bytes).await;
-    match &whole {
-        Ok(whole) => guard.failed = whole.head.status >= 500,
+    let received = send_and_receive(state, context, target, connection, &bytes).await;
+    match &received {
+        Ok(received) => guard.failed = received.head.status >= 500,
         Err(fault) => record_crash(state, context, target, fault, was_reused),
     }
-    whole
+    received
 }
 
-async fn exchange_whole(
+async fn send_and_receive(
     state: &EntryState,
     context: &RequestContext,
     target: &TargetEntry,
     mut connection: TargetConnection,
     request: &[u8],
-) -> Result<WholeAnswer, AttemptFault> {
+) -> Result<CompleteAnswer, AttemptFault> {
     let head = send_request(state, target, &mut connection, context, request).await?;
-    let body = connection.whole_body(&head).await?;
+    let body = connection.complete_body(&head).await?;
     if head.keeps_alive {
         let now = state.now();
         state
             .pool
             .put(now, target.address, connection, head.keep_alive_ms);
     }
-    Ok(WholeAnswer { head, body })
+    Ok(CompleteAnswer { head, body })
 }
 
 /// Records a failed attempt in the log, the metrics and the state that later choices use.
@@ -217,13 +219,13 @@
 
 /// Passes on a target's answer. A status that promises that nothing ran, without the target's
 /// confirmation, is replaced by 502.
-async fn pass_on(answer: &CallerAnswer<'_>, whole: &WholeAnswer) -> RequestEnd {
-    let status = whole.head.status;
+async fn pass_on(answer: &CallerAnswer<'_>, received: &CompleteAnswer) -> RequestEnd {
+    let status = received.head.status;
     if NOT_RUN_STATUSES.contains(&status) {
         let message = "the target failed without saying whether the request ran";
         return RequestEnd::error(answer, 502, message, None).await;
     }
-    match answer.write_full(&whole.head, &whole.body).await {
+    match answer.write_full(&received.head, &received.body).await {
         Ok(()) => RequestEnd::answered(status),
         Err(_gone) => RequestEnd::caller_gone(),
     }
@@ -234,10 +236,10 @@
     context: &RequestContext,
     answer: &CallerAnswer<'_>,
     refusal: Refusal,
-    failure: Option<WholeAnswer>,
+    failure: Option<CompleteAnswer>,
 ) -> RequestEnd {
-    if let Some(whole) = failure {
-        return pass_on(answer, &whole).await;
+    if let Some(failure) = failure {
+        return pass_on(answer, &failure).await;
     }
     RequestEnd::refused(state, answer, context, refusal).await
 }
--- a/crates/daemon/src/entry/request_context.rs
+++ b/crates/daemon/src/entry/request_context.rs
@@ -41,7 +41,7 @@
     /// When its first byte was read.
     pub arrived: MonoMs,
     /// Deadline for the end of its answer.
-    pub due: MonoMs,
+    pub deadline: MonoMs,
     /// Hash of account, path and body, the same for all retries of a request.
     pub fingerprint: Fingerprint,
 }
--- a/crates/daemon/src/entry/reservations.rs
+++ b/crates/daemon/src/entry/reservations.rs
@@ -24,9 +24,9 @@
 /// Time between two checks whether a renewal is due, in ms: an engine that asks for a pause tolerates
 /// requests that arrive within half a second.
 const RENEW_CHECK_INTERVAL_MS: u64 = 250;
-/// Time by which a reservation outlasts an engine's pause, in ms.
+/// Time by which a reservation outlasts an engine's pause, in ms, so that it can be renewed after the pause.
 const PAUSE_MARGIN_MS: u64 = 1_000;
-/// Age from which the engine's report is checked for use of the memory, in ms: most prompts have begun
+/// Age from which the engine's report is checked for use of the memory, in ms: most prompts are being worked on
 /// by then.
 const USE_CHECK_AFTER_MS: u64 = 4_500;
 /// Age at which an attempt that doesn't use its memory fails, in ms. No memory may stay reserved without use
@@ -41,7 +41,7 @@
 const ORDER_EXECUTED: u16 = 200;
 
 /// Memory reserved at engines for one prompt: all that it needs or none. It is renewed while
-/// [`Self::keep`] runs and released on drop, also when the request is cancelled.
+/// [`Self::renew_while_used`] runs and released on drop, also when the request is cancelled.
 #[derive(Debug)]
 pub struct Reservations<'a> {
     state: &'a Arc<EntryState>,
@@ -98,8 +98,8 @@
     pub fn entries(&self, helpers: &[TargetEntry]) -> Vec<String> {
         let reserved = |address: SocketAddr| format!("{address}/{}", self.id);
         let own = self.own.iter().map(|hold| reserved(hold.engine.address));
-        let helpers = helpers.iter().enumerate().map(|(order, helper)| {
-            if order < self.helpers.len() {
+        let helpers = helpers.iter().enumerate().map(|(index, helper)| {
+            if index < self.helpers.len() {
                 reserved(helper.address)
             } else {
                 helper.address.to_string()
@@ -110,11 +110,11 @@
 
     /// Renews the reservations. Completes with [`AttemptFault::Idle`] once the engine reports that the prompt
     /// doesn't use them. A failed renewal doesn't end the attempt: the engine may still serve the prompt, or
-    /// cuts it off itself.
+    /// end it itself.
     ///
-    /// Guards against an engine that accepts requests and executes orders but works on no request: its
+    /// Guards against an engine that accepts requests and executes orders but works on no request: the
     /// memory would stay reserved for as long as the caller waits.
-    pub async fn keep(&self) -> AttemptFault {
+    pub async fn renew_while_used(&self) -> AttemptFault {
         if self.live_holds().next().is_none() {
             return pending().await;
         }
@@ -130,9 +130,9 @@
             if let Err(fault) = self.order_all(due).await {
                 self.log_fault("isn't renewed", &fault);
             }
-            let kept_ms = self.state.now().since(began);
+            let age_ms = self.state.now().since(began);
             let is_check_due = now.since(checked_at) >= RENEW_INTERVAL_MS;
-            if kept_ms < USE_CHECK_AFTER_MS || was_used || !is_check_due {
+            if age_ms < USE_CHECK_AFTER_MS || was_used || !is_check_due {
                 continue;
             }
             checked_at = now;
@@ -140,7 +140,7 @@
                 Some(MemoryUse::Used) => was_used = true,
                 // An engine that doesn't know the reservation holds no memory for it.
                 Some(MemoryUse::Unknown) => {}
-                Some(MemoryUse::Unused) | None if kept_ms < UNUSED_TIMEOUT_MS => {}
+                Some(MemoryUse::Unused) | None if age_ms < UNUSED_TIMEOUT_MS => {}
                 Some(MemoryUse::Unused) | None => return AttemptFault::Idle,
             }
         }
@@ -194,8 +194,8 @@
     }
 
     /// Orders some engines to reserve memory or to extend the reservation.
-    async fn order_all(&self, live_holds: impl Iterator<Item = &MemoryHold>) -> Result<(), String> {
-        let orders = live_holds.map(|hold| self.order(hold));
+    async fn order_all(&self, holds: impl Iterator<Item = &MemoryHold>) -> Result<(), String> {
+        let orders = holds.map(|hold| self.order(hold));
         let answers: Result<Vec<()>, String> = join_all(orders).await.into_iter().collect();
         answers.map(|_done| ())
     }
@@ -216,9 +216,9 @@
         }
     }
 
-    fn release_holds<'h>(&self, live_holds: impl Iterator<Item = &'h MemoryHold>) {
+    fn release_holds<'h>(&self, holds: impl Iterator<Item = &'h MemoryHold>) {
         let now = self.state.now();
-        let engines: Vec<TargetEntry> = live_holds
+        let engines: Vec<TargetEntry> = holds
             .filter(|hold| !self.expires_in_pause(now, hold))
             .map(|hold| hold.engine.clone())
             .collect();
--- a/crates/daemon/src/entry/routing.rs
+++ b/crates/daemon/src/entry/routing.rs
@@ -14,8 +14,8 @@
 
 /// Deadline of a request whose caller sends none, in ms.
 pub const ASSUMED_DEADLINE_MS: u64 = 30_000;
-/// A refused caller is told to retry after its deadline divided by this at the latest; callers don't wait
-/// longer than a third of it.
+/// A `Retry-After` is limited to the request's deadline divided by this: callers don't wait longer than a third of
+/// their deadline.
 pub const RETRY_AFTER_DIVISOR: u64 = 3;
 /// Shortest `Retry-After` without a configuration or service, in ms: about the time in which an instance reads
 /// the store.
@@ -72,7 +72,7 @@
     serving.record_arrival(state.now(), &service);
     Ok(RequestContext {
         fingerprint: fingerprint(account.as_deref(), &head, &body),
-        due: arrived + deadline_ms.min(route.timeout_ms),
+        deadline: arrived + deadline_ms.min(route.timeout_ms),
         route: Arc::clone(route),
         service,
         account,
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -25,12 +25,12 @@
 
 /// Time between two checks whether a leaving instance is idle, in ms.
 const IDLE_CHECK_INTERVAL_MS: u64 = 50;
-/// Time after the signal to stop for which an idle instance still accepts requests, in ms: callers use
-/// an address list for up to three times its TTL of one second and still connect until then.
+/// Time for which an instance accepts requests after the signal to stop even if it is idle, in ms: callers
+/// use an address list for up to three times its TTL of one second, and still connect until then.
 const MIN_LEAVE_MS: u64 = 3_600;
 /// Time between two reads of the settings file, in ms: it may change without a signal.
 const SETTINGS_REREAD_INTERVAL_MS: u64 = 5_000;
-/// Time before the platform kills the process at which it exits by itself, in ms.
+/// The process exits by itself this long before the platform would kill it, in ms.
 const KILL_MARGIN_MS: u64 = 300;
 
 /// Options of the command line for an entry instance.
@@ -38,9 +38,9 @@
 pub struct EntryOptions {
     /// Whether the process only checks the settings and exits.
     pub check: bool,
-    /// Mechanisms of the decisions that are disabled.
+    /// Decision mechanisms that are switched off.
     pub disabled: DisabledMechanisms,
-    /// Port of the metrics; `None` for the one in the settings.
+    /// Port on which metrics are served; `None` for the one in the settings.
     pub metrics_port: Option<u16>,
 }
 
@@ -97,7 +97,7 @@
         Ok(Self { state, tasks })
     }
 
-    /// Disables mechanisms of the decisions.
+    /// Switches off decision mechanisms.
     pub fn disable_mechanisms(&self, disabled: DisabledMechanisms) {
         self.state.serving().disable_mechanisms(disabled);
     }
@@ -128,7 +128,7 @@
         self.state.serving().is_unreachable(now, target)
     }
 
-    /// Whether the last call of the store failed.
+    /// Whether the store is considered lost: its last call failed.
     pub fn is_store_lost(&self) -> bool {
         self.state.serving().is_store_lost()
     }
@@ -231,7 +231,7 @@
 pub fn run(options: &EntryOptions) -> Result<(), DaemonError> {
     let settings = load(options)?;
     if options.check {
-        println!("the settings are good");
+        println!("the settings are valid");
         return Ok(());
     }
     logs::set_up_lines()?;
--- a/crates/daemon/src/entry/store/store_pace.rs
+++ b/crates/daemon/src/entry/store/store_pace.rs
@@ -10,7 +10,7 @@
 const ROLE_CHECK_INTERVAL_MS: u64 = 50;
 /// Time between two checks for state from peers at the start, in ms.
 const START_CHECK_INTERVAL_MS: u64 = 20;
-/// Shortest delay before a retry while the store doesn't answer, in ms; up to twice as long.
+/// Shortest delay before a retry while the store doesn't answer, in ms. The delay is random, up to twice this.
 const RETRY_INTERVAL_MS: u64 = 150;
 /// The same for an instance that starts, has no state yet and can't connect to the store, in ms: callers
 /// wait meanwhile, and a failed connection isn't charged as a call.
@@ -23,10 +23,10 @@
 /// Shortest delay of an instance that stands in after its first failure, in ms; it doubles with each further
 /// one. Hundreds of instances that retry as often as a relay would use up most calls of a store that is back.
 const STAND_IN_RETRY_INTERVAL_MS: u64 = 500;
-/// Number of times that [`STAND_IN_RETRY_INTERVAL_MS`] doubles.
+/// Limit for the number of times that [`STAND_IN_RETRY_INTERVAL_MS`] doubles.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// What the reader of the store does next.
+/// Next step of the store reader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Turn {
     /// Call the store.
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct StorePace<'a> {
     state: &'a EntryState,
-    /// Whether this instance calls the store since its relays are silent.
+    /// Whether this instance calls the store itself because its relays are silent.
     stands_in: bool,
     /// Consecutive calls that failed.
     failures: u32,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether this instance calls the store since its relays are silent.
+    /// Whether this instance calls the store itself because its relays are silent.
     pub fn stands_in(&self) -> bool {
         self.stands_in
     }
@@ -129,12 +129,12 @@
 
     /// Waits before the next watch, so that one call returns all changes in quick succession.
     pub async fn wait_between_watches(&self) {
-        let gather_ms = if self.stands_in {
+        let gap_ms = if self.stands_in {
             STAND_IN_WATCH_GAP_MS
         } else {
             WATCH_GAP_MS
         };
-        self.state.clock.sleep(gather_ms).await;
+        self.state.clock.sleep(gap_ms).await;
     }
 
     /// Waits after a failure. `is_starting` tells that the instance isn't ready yet and the store is
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -17,7 +17,7 @@
     whinlatch_serving::targets::TargetChange,
 };
 
-/// Time for which the store holds a watch without changes, in ms. A connection that has gone silent is
+/// Time after which the store answers a watch without changes, in ms. A connection that has gone silent is
 /// detected after this and [`ANSWER_TIMEOUT_MS`], well within the two seconds within which a leaving target
 /// must get no more requests.
 const WATCH_TIMEOUT_MS: u64 = 900;
@@ -25,10 +25,10 @@
 const LAG_CHECK_INTERVAL_MS: u64 = 200;
 /// Timeout for an answer of the store, in ms: a hundred times the usual duration.
 const ANSWER_TIMEOUT_MS: u64 = 400;
-/// Timeout for a page, in ms: the store may be sixty times as slow as usual.
+/// Timeout for a page, in ms. It tolerates a store that is sixty times as slow as usual.
 const PAGE_TIMEOUT_MS: u64 = 1_000;
-/// The same while an instance starts, in ms. The store may be slow, by over eighty times the usual duration,
-/// and a store that accepted a connection and fell silent answers on a new one as soon as it is back.
+/// The same while an instance starts, in ms. It tolerates a store that is over eighty times as slow as usual, and
+/// isn't longer since a store that fell silent on a connection answers on a new one as soon as it is back.
 const STARTING_PAGE_TIMEOUT_MS: u64 = 400;
 /// Status of a watch from a revision whose history the store no longer has.
 const GONE: u16 = 410;
@@ -38,7 +38,7 @@
     let mut reader = StoreReader::new(&state);
     reader.pace.wait_for_peers().await;
     loop {
-        let fault = match reader.follow().await {
+        let fault = match reader.read_until_failure().await {
             Ok(never) => match never {},
             Err(fault) => fault,
         };
@@ -58,7 +58,8 @@
     Watch,
     /// The relays are silent.
     StandIn,
-    /// A call failed or peers know more, and the changes so far are requested without waiting.
+    /// A call failed or peers know a later revision: the changes so far are requested, and the store answers
+    /// without waiting for new ones.
     Recheck,
     /// The store no longer has the history, or an answer couldn't be read, so all is read again.
     Reread,
@@ -78,7 +79,7 @@
 
 /// Pages of a full read so far. They aren't a consistent snapshot: a target that is missing from them was
 /// removed, or not yet added, as of the first page's revision.
-struct Reading {
+struct FullRead {
     revision: u64,
     targets: Vec<TargetChange>,
     after: Option<String>,
@@ -90,7 +91,7 @@
     intake: Intake<'a>,
     lost_since: Option<MonoMs>,
     /// Progress of a full read that failed and is continued by the next call.
-    reading: Option<Reading>,
+    full_read: Option<FullRead>,
     /// Whether a watch can't continue from the known revision.
     needs_full_read: bool,
     /// Whether peers know a later revision than the watch returned, so that the changes are requested again.
@@ -105,7 +106,7 @@
             calls: StoreCalls::new(state),
             intake: Intake::new(state),
             lost_since: None,
-            reading: None,
+            full_read: None,
             needs_full_read: false,
             needs_recheck: false,
             pace: StorePace::new(state),
@@ -117,7 +118,7 @@
     /// What was read is kept when a call fails. Hundreds of instances that start at the same time use up the
     /// store's quota of calls, and if each refusal made them begin again, none would ever finish; and all would
     /// read everything again after each short outage of the store.
-    async fn follow(&mut self) -> Result<Infallible, ReadFault> {
+    async fn read_until_failure(&mut self) -> Result<Infallible, ReadFault> {
         loop {
             match self.pace.next_turn().await {
                 Turn::Call => {}
@@ -147,24 +148,24 @@
 
     /// Reads the configuration and all targets. Returns the revision from which a watch continues.
     async fn read_all(&mut self) -> Result<u64, ReadFault> {
-        let mut reading = match self.reading.take() {
-            Some(reading) => reading,
-            None => self.begin_reading().await?,
+        let mut full_read = match self.full_read.take() {
+            Some(full_read) => full_read,
+            None => self.begin_full_read().await?,
         };
         loop {
-            let request = range_request(reading.after.as_deref());
+            let request = range_request(full_read.after.as_deref());
             let page = match self.range(CallKind::Page, &request).await {
                 Ok(page) => page,
                 Err(fault) => {
-                    self.reading = Some(reading);
+                    self.full_read = Some(full_read);
                     return Err(fault);
                 }
             };
-            reading
+            full_read
                 .targets
                 .extend(self.intake.apply_configurations(page.changes));
-            reading.after = page.next_after;
-            if reading.after.is_none() {
+            full_read.after = page.next_after;
+            if full_read.after.is_none() {
                 break;
             }
         }
@@ -172,17 +173,17 @@
         let now = self.state.now();
         self.state
             .serving()
-            .apply_store_snapshot(now, reading.revision, reading.targets);
+            .apply_store_snapshot(now, full_read.revision, full_read.targets);
         self.state.notify_if_ready();
-        Ok(reading.revision)
+        Ok(full_read.revision)
     }
 
-    async fn begin_reading(&mut self) -> Result<Reading, ReadFault> {
+    async fn begin_full_read(&mut self) -> Result<FullRead, ReadFault> {
         let page = self
             .range(CallKind::Configuration, &configuration_request())
             .await?;
         self.intake.apply(page.changes);
-        Ok(Reading {
+        Ok(FullRead {
             revision: page.revision,
             targets: Vec::new(),
             after: None,
--- a/crates/daemon/src/entry/store/unreadable_lines.rs
+++ b/crates/daemon/src/entry/store/unreadable_lines.rs
@@ -1,7 +1,7 @@
 use whinlatch_core::MonoMs;
 
-/// Log lines on unreadable entries per [`UNREADABLE_INTERVAL_MS`], since other writers may write any number.
-/// The metric of dropped log lines counts the rest.
+/// Limit for the log lines on unreadable entries in each [`UNREADABLE_INTERVAL_MS`]. The metric of dropped log lines
+/// counts the rest.
 const MAX_UNREADABLE_LINES: u32 = 50;
 /// Interval to which [`MAX_UNREADABLE_LINES`] applies, in ms.
 const UNREADABLE_INTERVAL_MS: u64 = 10_000;
--- a/crates/daemon/src/entry/stream_events.rs
+++ b/crates/daemon/src/entry/stream_events.rs
@@ -4,7 +4,7 @@
     super::{
         attempt::AttemptFault,
         entry_state::EntryState,
-        http::{BodyDecoder, Progress, ResponseHead},
+        http::{BodyDecoder, BodyProgress, ResponseHead},
         stream_relay::{MAX_EVENT_PAUSE_MS, Relay, StreamEnd},
         target_connection::TargetConnection,
     },
@@ -49,12 +49,12 @@
                     return Ok(StreamEnd::CallerGone);
                 }
             }
-            if progress == Progress::Whole {
+            if progress == BodyProgress::Complete {
                 if self.finish(&head).await.is_err() {
                     return Ok(StreamEnd::CallerGone);
                 }
                 self.return_to_pool(placement, connection, &head);
-                return Ok(StreamEnd::Whole);
+                return Ok(StreamEnd::Complete);
             }
         }
     }
@@ -67,7 +67,7 @@
         connection: &mut TargetConnection,
         decoder: &mut BodyDecoder,
         wait_ms: u64,
-    ) -> Result<Progress, AttemptFault> {
+    ) -> Result<BodyProgress, AttemptFault> {
         let may_move = self.has_another_attempt();
         let more = connection.body(decoder, self.splitter.buffer());
         let awaited = timeout(self.state.clock.as_ref(), wait_ms, more);
@@ -84,12 +84,12 @@
         if self.has_another_attempt() {
             return MAX_EVENT_PAUSE_MS;
         }
-        self.context.due.since(self.state.now())
+        self.context.deadline.since(self.state.now())
     }
 
-    fn take_events(&mut self, progress: Progress) -> Vec<u8> {
-        let mut events = self.splitter.take_whole().unwrap_or_default();
-        if progress == Progress::Whole {
+    fn take_events(&mut self, progress: BodyProgress) -> Vec<u8> {
+        let mut events = self.splitter.take_complete().unwrap_or_default();
+        if progress == BodyProgress::Complete {
             events.extend(self.splitter.take_rest().unwrap_or_default());
         }
         events
--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -29,22 +29,22 @@
 
 /// Engines that are tried before a prompt fails.
 const MAX_TARGETS: usize = 4;
-/// Added to three times the expected time to the first event for the timeout, in ms: an engine detects
-/// a dead helper within 1,500 ms and reports it itself.
+/// The timeout for the first event is three times its expected time and this, in ms: an engine detects a dead
+/// helper within 1,500 ms and reports it itself.
 const FIRST_EVENT_GRACE_MS: u64 = 1_800;
-/// Pause between events after which an attempt fails, in ms. A pass that reads parts of several long
-/// prompts takes up to three seconds, which is no failure.
+/// Pause between events after which an attempt fails, in ms. It is longer than a pass that reads parts of several
+/// long prompts, which takes up to three seconds.
 pub(super) const MAX_EVENT_PAUSE_MS: u64 = 5_000;
-/// Tenths of the route's patience for which a first event is awaited at least; the rest is left for an
-/// attempt at another engine.
+/// Shortest wait for a first event, in tenths of the route's patience. The rest is left for an attempt at another
+/// engine.
 const FIRST_EVENT_PATIENCE_TENTHS: u64 = 6;
 /// Assumed length of an answer if the caller gives no estimate, in tokens.
 const ASSUMED_ANSWER_TOKENS: u32 = 600;
 
-/// End of an attempt after which no other one follows.
+/// How an attempt ended that no other one follows.
 pub(super) enum StreamEnd {
     /// All events were passed on.
-    Whole,
+    Complete,
     /// The engine answered with an error status.
     Failure(ResponseHead, Vec<u8>),
     /// The caller is gone.
@@ -57,8 +57,11 @@
     pub(super) context: &'a RequestContext,
     pub(super) answer: &'a CallerAnswer<'a>,
     pub(super) splitter: EventSplitter,
+    /// When the first event of the stream arrived, over all attempts; `None` before.
     pub(super) first_event_at: Option<MonoMs>,
+    /// When the latest event arrived; the start of the relay before the first one.
     pub(super) last_event_at: MonoMs,
+    /// Failed attempts that may have run at their engine.
     runs: u32,
 }
 
@@ -90,7 +93,7 @@
             };
             let target = placement.engine.clone();
             let fault = match self.attempt(&placement).await {
-                Ok(StreamEnd::Whole) => return RequestEnd::answered(200),
+                Ok(StreamEnd::Complete) => return RequestEnd::answered(200),
                 Ok(StreamEnd::CallerGone) => return RequestEnd::caller_gone(),
                 Ok(StreamEnd::Failure(head, body)) => {
                     self.record_engine_failure(placement.job);
@@ -108,12 +111,12 @@
                 self.answer.set_may_have_run(self.runs > 0);
             }
             self.splitter.discard_partial();
-            let may_repeat =
+            let may_retry =
                 self.context.route.retry_policy.is_idempotent() || !fault.may_have_run();
             let is_over = self.runs >= self.context.route.max_attempts
                 || self.answer.progress().sends > self.context.route.max_attempts
                 || tried.len() >= MAX_TARGETS;
-            if is_over || !may_repeat {
+            if is_over || !may_retry {
                 return self.give_up(Refusal::NoAttempt).await;
             }
         }
@@ -148,7 +151,7 @@
             max_answer_tokens,
             slack_ms: limit_ms.cast_signed() - passed_ms.cast_signed(),
             pause_limit_ms,
-            patience_ms: patience_ms.min(context.due.since(now)),
+            patience_ms: patience_ms.min(context.deadline.since(now)),
             excluded: tried.to_vec(),
             is_resumed: answer.has_begun(),
             is_repeat: answer.progress().sends > 0,
@@ -191,9 +194,9 @@
         self.answer.set_may_have_run(true);
         let end = {
             let served = self.serve(placement, connection, &request);
-            let kept = reservations.keep();
-            pin_mut!(served, kept);
-            match select(served, kept).await {
+            let unused = reservations.renew_while_used();
+            pin_mut!(served, unused);
+            match select(served, unused).await {
                 Either::Left((end, _)) => end,
                 Either::Right((fault, _)) => Err(fault),
             }
@@ -214,8 +217,8 @@
         let wait_ms = self.first_event_wait_ms(placement);
         let first_event_by = self.state.now() + wait_ms;
         let engine = &placement.engine;
-        let asked = send_request(self.state, engine, &mut connection, self.context, request);
-        let head = timeout(self.state.clock.as_ref(), wait_ms, asked)
+        let responded = send_request(self.state, engine, &mut connection, self.context, request);
+        let head = timeout(self.state.clock.as_ref(), wait_ms, responded)
             .await
             .ok_or(AttemptFault::Silent)??;
         if !head.is_success() {
@@ -229,7 +232,7 @@
         let helpers = reservations.entries(&placement.helpers);
         let resumed = self.splitter.last_id();
         self.context.for_target(&TargetHead {
-            left_ms: self.context.due.since(self.state.now()),
+            left_ms: self.context.deadline.since(self.state.now()),
             target: placement.engine.name(),
             account: self.context.account.as_deref(),
             last_event_id: resumed.or(self.context.caller.last_event_id),
@@ -239,10 +242,10 @@
     }
 
     /// Timeout for the first event of an attempt, in ms. Without another attempt left it is the time to
-    /// the deadline, since giving up earlier would only lose an answer that is late.
+    /// the deadline: silence alone is no failure, and giving up earlier would only lose an answer that is late.
     fn first_event_wait_ms(&self, placement: &PromptPlacement) -> u64 {
         if !self.has_another_attempt() {
-            return self.context.due.since(self.state.now());
+            return self.context.deadline.since(self.state.now());
         }
         let patience_ms = self.context.route.patience_ms;
         (3 * placement.first_event_ms as u64 + FIRST_EVENT_GRACE_MS)
@@ -282,6 +285,6 @@
     mut connection: TargetConnection,
     head: ResponseHead,
 ) -> Result<StreamEnd, AttemptFault> {
-    let body = connection.whole_body(&head).await?;
+    let body = connection.complete_body(&head).await?;
     Ok(StreamEnd::Failure(head, body))
 }
--- a/crates/daemon/src/entry/target_connection.rs
+++ b/crates/daemon/src/entry/target_connection.rs
@@ -1,6 +1,6 @@
 use {
     super::http::{
-        BodyDecoder, BodyFault, HeadFault, Input, Progress, ResponseHead, find_head_end,
+        BodyDecoder, BodyFault, BodyProgress, HeadFault, Input, ResponseHead, find_head_end,
     },
     crate::targets::GuardedStream,
     futures::{AsyncReadExt, AsyncWrite, FutureExt, future::poll_fn, ready},
@@ -32,7 +32,7 @@
     Body(#[from] BodyFault),
 }
 
-/// Result of a write.
+/// Result of a write to a target.
 enum Sent {
     /// Number of bytes written.
     Bytes(usize),
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Whether another request may be sent: the last one was sent completely, and no bytes are left that
-    /// belong to no request.
+    /// Whether another request may be sent: the last one was sent completely, and nothing was received after
+    /// its answer.
     pub fn is_reusable(&self) -> bool {
         !self.is_unusable && self.input.is_empty()
     }
@@ -113,7 +113,7 @@
         Poll::Ready(Ok(Sent::Bytes(count)))
     }
 
-    /// Receives the head of the answer, past interim ones such as 100. `method` is that of the request.
+    /// Receives the head of the answer, and skips interim ones such as 100. `method` is that of the request.
     ///
     /// # Errors
     /// [`TargetFault`].
@@ -143,17 +143,17 @@
         &mut self,
         decoder: &mut BodyDecoder,
         out: &mut Vec<u8>,
-    ) -> Result<Progress, TargetFault> {
+    ) -> Result<BodyProgress, TargetFault> {
         let before = out.len();
         loop {
             let progress = decoder.decode(&mut self.input, out)?;
-            if progress == Progress::Whole || out.len() > before {
+            if progress == BodyProgress::Complete || out.len() > before {
                 return Ok(progress);
             }
             if self.input.fill(self.stream.inner()).await? == 0 {
                 self.is_unusable = true;
                 decoder.end()?;
-                return Ok(Progress::Whole);
+                return Ok(BodyProgress::Complete);
             }
         }
     }
@@ -169,7 +169,7 @@
     ) -> Result<(ResponseHead, Vec<u8>), TargetFault> {
         self.send(request).await?;
         let head = self.head(method).await?;
-        let body = self.whole_body(&head).await?;
+        let body = self.complete_body(&head).await?;
         Ok((head, body))
     }
 
@@ -177,10 +177,10 @@
     ///
     /// # Errors
     /// [`TargetFault`].
-    pub async fn whole_body(&mut self, head: &ResponseHead) -> Result<Vec<u8>, TargetFault> {
+    pub async fn complete_body(&mut self, head: &ResponseHead) -> Result<Vec<u8>, TargetFault> {
         let mut decoder = BodyDecoder::new(head.framing);
         let mut body = Vec::new();
-        while self.body(&mut decoder, &mut body).await? == Progress::More {}
+        while self.body(&mut decoder, &mut body).await? == BodyProgress::More {}
         Ok(body)
     }
 
