--- a/crates/daemon/src/entry/http.rs
+++ b/crates/daemon/src/entry/http.rs
@@ -1,5 +1,6 @@
 //! HTTP/1.1 for the callers and targets of published routes. Heads may be as large as configured, and paths and
-//! bodies are passed on byte for byte; the HTTP library (`async-h1`) that the rest of the daemon uses guarantees neither.
+//! bodies are passed on byte for byte; the HTTP library (`async-h1`) that the rest of the daemon uses guarantees
+//! neither.
 
 mod body_decoder;
 mod head_reader;
