--- a/crates/daemon/src/entry/entry_metrics.rs
+++ b/crates/daemon/src/entry/entry_metrics.rs
@@ -188,7 +188,7 @@
         self.store_failures.inc();
     }
 
-    /// Counts a call of the store.
+    /// Counts a call to the store by its kind and reason, which are labels.
     pub fn record_store_call(&self, kind: &str, reason: &str) {
         self.store_calls.with_label_values(&[kind, reason]).inc();
     }
--- a/crates/daemon/src/entry/links/incoming.rs
+++ b/crates/daemon/src/entry/links/incoming.rs
@@ -71,12 +71,14 @@
             }
         };
         from = frame.member.as_ref().map(|member| member.run).or(from);
+        // Frames are ignored until the peer has named its run in one.
         if let Some(from) = from {
             apply_frame(state, from, frame);
         }
     }
 }
 
+/// Applies a frame of the peer whose run is `from`, logs what it changes and sends the responses to its requests.
 fn apply_frame(state: &EntryState, from: u64, mut frame: Frame) {
     if let Some(response) = frame.placement_response.take() {
         state
--- a/crates/daemon/src/entry/links/keeper.rs
+++ b/crates/daemon/src/entry/links/keeper.rs
@@ -29,7 +29,9 @@
     state: Arc<EntryState>,
     /// Deciders that have this instance's prompts, with the groups of engines whose prompts they have.
     informed: BTreeMap<SocketAddr, Vec<EngineGroup>>,
+    /// Links that this instance needs and those that peers request, as of the last check.
     wanted: WantedLinks,
+    /// Whether this instance is a hub, as last logged.
     is_hub: bool,
     /// Whether this instance follows a relay, as last logged.
     follows_relay: bool,
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Logs when this instance begins or ceases to follow a relay, and records the relay's age.
+    /// Logs when this instance begins or ceases to follow a relay, and records the age of the relay's status.
     fn log_store_role(&mut self, role: StoreRole) {
         let state = &self.state;
         let line = match role {
--- a/crates/daemon/src/entry/placing.rs
+++ b/crates/daemon/src/entry/placing.rs
@@ -86,6 +86,7 @@
         if let Some(placement) = state.serving().accept_placement(state.now(), &decision?) {
             return Ok(placement);
         }
+        // The peer hasn't learned yet that one of its engines isn't ready, so this instance chooses itself.
         break;
     }
     let now = state.now();
--- a/crates/daemon/src/entry/plain_calls.rs
+++ b/crates/daemon/src/entry/plain_calls.rs
@@ -87,6 +87,7 @@
                     return RequestEnd::error(answer, 502, &reason, None).await;
                 }
                 if !fault.may_have_run() {
+                    // Set by this attempt; only earlier ones may have run.
                     answer.set_may_have_run(runs > 0);
                 }
             }
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -73,7 +73,7 @@
         let ready = listen(&mut settings.ready_address).await?;
         let directory = listen(&mut settings.directory_address).await?;
         let peers = listen(&mut settings.peer_address).await?;
-        let counters = listen(&mut settings.metrics_address).await?;
+        let metrics_listener = listen(&mut settings.metrics_address).await?;
         let metrics = Arc::new(EntryMetrics::new()?);
         let log = DecisionLines::start(Arc::clone(&metrics))?;
         let own = own_member(&settings);
@@ -91,7 +91,7 @@
             task::spawn(accept_links(shared(), peers)),
             task::spawn(serve_queries(shared(), ready)),
             task::spawn(serve_queries(shared(), directory)),
-            task::spawn(serve_queries(shared(), counters)),
+            task::spawn(serve_queries(shared(), metrics_listener)),
             task::spawn(serve_callers(shared(), callers)),
         ];
         Ok(Self { state, tasks })
--- a/crates/daemon/src/entry/store/store_calls.rs
+++ b/crates/daemon/src/entry/store/store_calls.rs
@@ -20,7 +20,7 @@
 /// Time that bytes sent to the store may stay unacknowledged before the connection is taken as broken.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Reason why a call of the store failed.
+/// Reason why a call to the store failed.
 #[derive(Debug, Error)]
 pub enum ReadFault {
     /// No connection could be opened.
@@ -43,7 +43,7 @@
     Content(#[from] StoreFault),
 }
 
-/// Kind of a call of the store.
+/// Kind of a call to the store.
 #[derive(Debug, Clone, Copy)]
 pub enum CallKind {
     /// The configuration.
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reason for a call of the store, a label in metrics.
+/// Reason for a call to the store, a label in metrics.
 #[derive(Debug, Clone, Copy)]
 enum Reason {
     /// The instance has no state yet.
@@ -77,8 +77,8 @@
     }
 }
 
-/// Pages of a full read so far. They aren't a consistent snapshot: a target that is missing from them was
-/// removed, or not yet added, as of the first page's revision.
+/// Pages of a full read so far. They are read at different revisions, so they aren't a consistent snapshot. A target
+/// that is missing from them is taken as missing at the first answer's revision, from which a watch continues.
 struct FullRead {
     revision: u64,
     targets: Vec<TargetChange>,
@@ -89,8 +89,9 @@
     state: &'a EntryState,
     calls: StoreCalls<'a>,
     intake: Intake<'a>,
+    /// When the first call failed since the store last answered; `None` while it answers.
     lost_since: Option<MonoMs>,
-    /// Progress of a full read that failed and is continued by the next call.
+    /// Full read that a failed call interrupted; the next call continues it.
     full_read: Option<FullRead>,
     /// Whether a watch can't continue from the known revision.
     needs_full_read: bool,
--- a/crates/daemon/src/entry/stream_events.rs
+++ b/crates/daemon/src/entry/stream_events.rs
@@ -71,15 +71,16 @@
         let may_move = self.has_another_attempt();
         let more = connection.body(decoder, self.splitter.buffer());
         let awaited = timeout(self.state.clock.as_ref(), wait_ms, more);
-        let lost = until_stream_should_move(self.state, &placement.engine, may_move);
-        pin_mut!(awaited, lost);
-        match select(awaited, lost).await {
+        let unreachable = until_stream_should_move(self.state, &placement.engine, may_move);
+        pin_mut!(awaited, unreachable);
+        match select(awaited, unreachable).await {
             Either::Left((progress, _)) => Ok(progress.ok_or(AttemptFault::Silent)??),
             Either::Right(((), _)) => Err(AttemptFault::Silent),
         }
     }
 
-    /// Timeout for the next event, in ms.
+    /// Timeout for the next event, in ms. Without another attempt left it is the time to the deadline, as for the
+    /// first event.
     fn next_event_wait_ms(&self) -> u64 {
         if self.has_another_attempt() {
             return MAX_EVENT_PAUSE_MS;
@@ -87,6 +88,7 @@
         self.context.deadline.since(self.state.now())
     }
 
+    /// Takes the complete events, and at the end of the stream also what follows them.
     fn take_events(&mut self, progress: BodyProgress) -> Vec<u8> {
         let mut events = self.splitter.take_complete().unwrap_or_default();
         if progress == BodyProgress::Complete {
--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -108,6 +108,7 @@
             if fault.may_have_run() {
                 self.runs += 1;
             } else {
+                // Set by this attempt; only earlier ones may have run.
                 self.answer.set_may_have_run(self.runs > 0);
             }
             self.splitter.discard_partial();
