--- a/crates/daemon/src/entry/entry_metrics.rs
+++ b/crates/daemon/src/entry/entry_metrics.rs
@@ -43,11 +43,11 @@
     pub fn new() -> Result<Self, prometheus::Error> {
         let durations = HistogramOpts::new(
             "whinlatch_entry_request_seconds",
-            "Time from a request's last byte to the end of its answer.",
+            "Time from a request's first byte to the end of its answer.",
         );
         let first_events = HistogramOpts::new(
             "whinlatch_entry_first_event_seconds",
-            "Time from a prompt's last byte to its first event.",
+            "Time from a prompt's first byte to its first event.",
         );
         let knowledge_age = HistogramOpts::new(
             "whinlatch_entry_knowledge_age_seconds",
