--- a/crates/daemon/src/app/args.rs
+++ b/crates/daemon/src/app/args.rs
@@ -27,6 +27,6 @@
         settings: PathBuf,
     },
     /// From the platform on which the instance runs.
-    /// Serve the routes that the platform's store publishes; the platform places the settings
+    /// Serve the routes that the platform's store publishes; the platform provides the settings file
     Platform,
 }
--- a/crates/daemon/src/app/daemon.rs
+++ b/crates/daemon/src/app/daemon.rs
@@ -113,7 +113,7 @@
         &self.shared.metrics
     }
 
-    /// Tells the daemon to leave: it finishes requests in flight and accepts no new ones.
+    /// Starts a graceful shutdown: the daemon finishes requests in flight and accepts no new ones.
     pub async fn stop(&self) {
         self.shared
             .control
--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -100,7 +100,7 @@
     if complete {
         return Incoming::Request(Box::new(request), body);
     }
-    let message = "the connection ended within the request's body: send it whole";
+    let message = "the connection ended within the request's body: send all of it";
     Incoming::Refused(Refusal::new(Reason::BadRequest, message))
 }
 
--- a/crates/daemon/src/callers/listener.rs
+++ b/crates/daemon/src/callers/listener.rs
@@ -17,8 +17,9 @@
 
 /// HTTP status of a connection over the limit.
 const TOO_MANY_REQUESTS: u16 = 429;
-/// Connections over the limit that get a refusal; further ones are closed without an answer.
-const MAX_REFUSED_AT_ONCE: usize = 64;
+/// Connections over the limit that are refused with an answer at the same time; further ones are closed
+/// without one.
+const MAX_CONCURRENT_REFUSALS: usize = 64;
 /// `retry-after` of a refusal over the limit, in ms.
 const RETRY_AFTER_MS: u64 = 1_000;
 /// Wait after a failed accept, in ms. The process is out of file descriptors then, and an
@@ -59,7 +60,7 @@
     };
     let limit = shared.settings.limits.max_connections as usize;
     let write_timeout = Duration::from_millis(shared.settings.limits.write_timeout_ms);
-    if before >= limit + MAX_REFUSED_AT_ONCE || set_options(&stream, write_timeout).is_err() {
+    if before >= limit + MAX_CONCURRENT_REFUSALS || set_options(&stream, write_timeout).is_err() {
         return;
     }
     let shared = Arc::clone(shared);
--- a/crates/daemon/src/callers/open_requests.rs
+++ b/crates/daemon/src/callers/open_requests.rs
@@ -39,8 +39,7 @@
         }
     }
 
-    /// Counts a request until the guard is dropped; `None` once the daemon is shutting
-    /// down.
+    /// Counts a request until the guard is dropped; `None` once the daemon is shutting down.
     pub fn open(&self) -> Option<OpenRequest> {
         let alive = self.alive.lock().unwrap_or_else(PoisonError::into_inner);
         let alive = alive.clone()?;
--- a/crates/daemon/src/callers/pages.rs
+++ b/crates/daemon/src/callers/pages.rs
@@ -36,7 +36,8 @@
     };
     match shared.control.decisions(request).await {
         Ok(None) => {
-            let message = "no decisions are kept for this request here: ask its entry, soon after";
+            let message = "no decisions of this request are stored here: query the entry that received \
+                           it soon after";
             Answer::Ended(Refusal::with_status(404, Reason::BadRequest, message))
         }
         found => page(found),
--- a/crates/daemon/src/callers/request_head.rs
+++ b/crates/daemon/src/callers/request_head.rs
@@ -63,7 +63,7 @@
     if head.is_empty() {
         return HeadError::Closed;
     }
-    let message = "the connection ended within the request's head: send it whole";
+    let message = "the connection ended within the request's head: send all of it";
     HeadError::Refused(Refusal::new(Reason::BadRequest, message))
 }
 
--- a/crates/daemon/src/callers/routes.rs
+++ b/crates/daemon/src/callers/routes.rs
@@ -62,7 +62,7 @@
 }
 
 fn wrong_method() -> Refusal {
-    let message = "this path takes another method: POST completions and services, GET the rest";
+    let message = "this path requires another method: POST completions and services, GET the rest";
     Refusal::with_status(405, Reason::BadRequest, message)
 }
 
@@ -78,7 +78,7 @@
         return wrong_method();
     }
     let message = format!(
-        "there is nothing at this path: use {} or {SERVICES_PREFIX}NAME",
+        "this path is unknown: use {} or {SERVICES_PREFIX}NAME",
         KNOWN.join(", ")
     );
     Refusal::with_status(404, Reason::BadRequest, message)
--- a/crates/daemon/src/control/control_message.rs
+++ b/crates/daemon/src/control/control_message.rs
@@ -35,20 +35,20 @@
     },
     /// A link has closed.
     LinkDown {
-        /// The link.
+        /// The id from [`Self::LinkUp`].
         link: LinkId,
-        /// The peer.
+        /// The incarnation in the peer's hello.
         peer: Incarnation,
         /// The peer's address for links.
         address: SocketAddr,
     },
     /// A frame was received over a link.
     LinkFrame {
-        /// The link.
+        /// The id from [`Self::LinkUp`].
         link: LinkId,
-        /// The peer.
+        /// The incarnation in the peer's hello.
         peer: Incarnation,
-        /// The frame.
+        /// The decoded frame.
         frame: Box<PeerFrame>,
     },
     /// A read of the core's state.
@@ -86,7 +86,7 @@
     },
     /// Answer with the stored result of the ticket's run.
     Replay {
-        /// The ticket.
+        /// The ticket under which the answer is stored.
         ticket: Ticket,
         /// How the run ended.
         outcome: Outcome,
--- a/crates/daemon/src/errors.rs
+++ b/crates/daemon/src/errors.rs
@@ -48,13 +48,13 @@
         source: io::Error,
     },
     /// The system can't start another thread.
-    #[error("can't start a thread: {0}: raise the limit of threads of this process")]
+    #[error("can't start a thread: {0}: raise the thread limit of this process")]
     Thread(io::Error),
     /// Signal handlers can't be installed.
-    #[error("can't handle signals: {0}: start the daemon without a filter of signals")]
+    #[error("can't handle signals: {0}: start the daemon without a signal filter")]
     Signals(io::Error),
     /// The process has a logger already.
-    #[error("can't set up the log: {0}: start one daemon in a process")]
+    #[error("can't set up the log: {0}: start only one daemon per process")]
     Log(#[from] log::SetLoggerError),
     /// Two metrics have the same name, or one has an invalid name.
     #[error("can't set up the metrics: {0}: report this as a defect")]
--- a/crates/daemon/src/metrics/daemon_metrics.rs
+++ b/crates/daemon/src/metrics/daemon_metrics.rs
@@ -33,7 +33,7 @@
     dropped_chunks: IntCounter,
     dropped_log_lines: IntCounter,
     peer_links: IntGauge,
-    peers_turned_away: IntCounter,
+    refused_links: IntCounter,
     platform_reads: IntCounterVec,
     control_seconds: prometheus::Counter,
     control_events: IntCounter,
@@ -79,7 +79,7 @@
                 "Decisions that were not logged because the log's reader was too slow.",
             )?,
             peer_links: IntGauge::new("whinlatch_peer_links", "Open links to other daemons.")?,
-            peers_turned_away: IntCounter::new(
+            refused_links: IntCounter::new(
                 "whinlatch_peers_turned_away_total",
                 "Links refused because the other side didn't prove that it holds the key.",
             )?,
@@ -110,7 +110,7 @@
             Box::new(self.dropped_chunks.clone()),
             Box::new(self.dropped_log_lines.clone()),
             Box::new(self.peer_links.clone()),
-            Box::new(self.peers_turned_away.clone()),
+            Box::new(self.refused_links.clone()),
             Box::new(self.platform_reads.clone()),
             Box::new(self.control_seconds.clone()),
             Box::new(self.control_events.clone()),
@@ -190,13 +190,13 @@
     }
 
     /// Counts a link that was refused in the handshake.
-    pub fn record_peer_turned_away(&self) {
-        self.peers_turned_away.inc();
+    pub fn record_refused_link(&self) {
+        self.refused_links.inc();
     }
 
     /// Returns the number of links refused in the handshake so far.
-    pub fn peers_turned_away(&self) -> u64 {
-        self.peers_turned_away.get()
+    pub fn refused_links(&self) -> u64 {
+        self.refused_links.get()
     }
 
     /// Counts a read of the platform by its kind and result.
--- a/crates/daemon/src/peers/handshake.rs
+++ b/crates/daemon/src/peers/handshake.rs
@@ -15,7 +15,7 @@
     #[error("the peer's first frame isn't a hello: run compatible versions")]
     NoHello,
     /// The link leads back to this daemon.
-    #[error("the peer is this daemon itself: take its own address out of `seed_peers`")]
+    #[error("the peer is this daemon itself: remove its own address from `seed_peers`")]
     Itself,
     /// The peer's proof isn't valid for this daemon's key.
     #[error("the peer doesn't hold the key: set the same `peer_key` in all settings")]
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -99,7 +99,7 @@
     match error {
         HandshakeError::Broken => log::debug!("peers: no link to {address}: {error}"),
         HandshakeError::NoHello | HandshakeError::Itself | HandshakeError::Unproved => {
-            shared.metrics.record_peer_turned_away();
+            shared.metrics.record_refused_link();
             log::warn!("peers: link with {address} refused: {error}");
         }
     }
--- a/crates/daemon/src/targets/json_call.rs
+++ b/crates/daemon/src/targets/json_call.rs
@@ -16,7 +16,7 @@
     #[error("nothing was sent: connect again")]
     NotSent,
     /// Bytes may have been written, and no complete answer arrived.
-    #[error("the answer is lost: ask again if the call is idempotent")]
+    #[error("the answer is lost: retry if the call is idempotent")]
     Lost,
     /// The answer has another HTTP status than 200.
     #[error("the answer has status {0}: see the other side's log")]
--- a/crates/daemon/tests/daemon/bad_input.rs
+++ b/crates/daemon/tests/daemon/bad_input.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{FullAnswer, ask, completion, label_call, send_raw},
+        client::{FullAnswer, completion, label_call, send_and_read, send_raw},
         fixture::{MODEL, fast_engine, world},
     },
     http_types::Request,
@@ -23,7 +23,7 @@
     let (world, daemon) = daemon().await;
     let mut request = completion(&daemon, "prompt");
     change(&mut request);
-    let answer = ask(&daemon, request).await;
+    let answer = send_and_read(&daemon, request).await;
     assert!(world.engines[0].stats().runs_by_attempt.is_empty());
     answer
 }
@@ -99,7 +99,7 @@
     let response = async_h1::client::decode(stream).await.unwrap();
 
     let answer = super::client::read_answer(response).await;
-    assert_refused(&answer, 400, Reason::BadRequest, "send it whole");
+    assert_refused(&answer, 400, Reason::BadRequest, "send all of it");
 }
 
 #[async_std::test]
@@ -163,11 +163,11 @@
 }
 
 #[async_std::test]
-async fn a_bad_ticket_is_told() {
+async fn an_invalid_ticket_is_reported() {
     let (_world, daemon) = daemon().await;
     let mut request = label_call(&daemon, "parcel", None);
     request.insert_header("whinlatch-ticket", "7");
-    let answer = ask(&daemon, request).await;
+    let answer = send_and_read(&daemon, request).await;
     assert_refused(&answer, 400, Reason::BadRequest, "428 response");
 }
 
--- a/crates/daemon/tests/daemon/client.rs
+++ b/crates/daemon/tests/daemon/client.rs
@@ -20,7 +20,7 @@
 };
 
 /// A deadline that is never reached in a test, in ms.
-pub const LONG_MS: u64 = 300_000;
+pub const LONG_DEADLINE_MS: u64 = 300_000;
 
 /// A completely read answer.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     let body = json!({ "model": MODEL, "prompt": prompt, "max_tokens": 4_000 });
     request.set_body(body.to_string());
     request.insert_header("content-type", "application/json");
-    insert_caller(&mut request, LONG_MS);
+    insert_caller(&mut request, LONG_DEADLINE_MS);
     request
 }
 
@@ -57,7 +57,7 @@
 pub fn label_call(daemon: &Daemon, body: &str, ticket: Option<Ticket>) -> Request {
     let mut request = request(daemon, Method::Post, "/v1/services/labels");
     request.set_body(body);
-    insert_caller(&mut request, LONG_MS);
+    insert_caller(&mut request, LONG_DEADLINE_MS);
     if let Some(ticket) = ticket {
         request.insert_header(TICKET_HEADER, ticket.to_string());
     }
@@ -77,7 +77,7 @@
 }
 
 /// Sends a request and reads the complete answer.
-pub async fn ask(daemon: &Daemon, request: Request) -> FullAnswer {
+pub async fn send_and_read(daemon: &Daemon, request: Request) -> FullAnswer {
     read_answer(send(daemon, request).await).await
 }
 
--- a/crates/daemon/tests/daemon/leaving.rs
+++ b/crates/daemon/tests/daemon/leaving.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{ask, completion, get, label_call, read_answer, read_first_chunk, send},
+        client::{completion, get, label_call, read_answer, read_first_chunk, send, send_and_read},
         fixture::{World, fast_engine, world},
     },
     futures::{pin_mut, poll},
@@ -19,7 +19,7 @@
 // Guards against answers that are truncated when a daemon is replaced: it is stopped while it passes
 // an answer to a caller, and exits with the connection open.
 #[async_std::test]
-async fn a_daemon_that_is_told_to_stop_finishes_what_is_in_flight() {
+async fn a_stopped_daemon_finishes_requests_in_flight() {
     let engine = EngineOptions {
         decode_tokens_per_s: 60.0,
         ..fast_engine()
@@ -47,7 +47,7 @@
     let mut daemon = world.daemon(world.settings("one")).await;
     // Larger than the socket buffers of both ends.
     let body = "x".repeat(15_000_000);
-    let refused = ask(&daemon, label_call(&daemon, &body, None)).await;
+    let refused = send_and_read(&daemon, label_call(&daemon, &body, None)).await;
     let call = label_call(&daemon, &body, refused.outcome.ticket);
     let response = send(&daemon, call).await;
 
--- a/crates/daemon/tests/daemon/limits.rs
+++ b/crates/daemon/tests/daemon/limits.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{ask, completion, get, read_answer},
+        client::{completion, get, read_answer, send_and_read},
         fixture::{fast_engine, until, world},
     },
     async_std::{
@@ -34,7 +34,7 @@
         .unwrap();
     let mut silent = connect(&daemon).await;
 
-    let served = ask(&daemon, completion(&daemon, "prompt")).await;
+    let served = send_and_read(&daemon, completion(&daemon, "prompt")).await;
     let answer = read_answer(async_h1::client::decode(slow).await.unwrap()).await;
     let mut nothing = Vec::new();
     let silent_end = silent.read_to_end(&mut nothing).await;
--- a/crates/daemon/tests/daemon/operators.rs
+++ b/crates/daemon/tests/daemon/operators.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{ask, completion, get, request, send},
+        client::{completion, get, request, send, send_and_read},
         fixture::{fast_engine, until, world},
     },
     http_types::Method,
@@ -38,7 +38,7 @@
 async fn the_decisions_about_a_request_can_be_read() {
     let world = world(1, fast_engine()).await;
     let daemon = world.daemon(world.settings("one")).await;
-    let answer = ask(&daemon, completion(&daemon, "prompt")).await;
+    let answer = send_and_read(&daemon, completion(&daemon, "prompt")).await;
 
     let path = format!("/v1/decisions/{}", answer.outcome.request);
     let report: DecisionReport = get(&daemon, &path).await;
@@ -51,7 +51,7 @@
 async fn metrics_count_requests_by_their_outcome() {
     let world = world(1, fast_engine()).await;
     let daemon = world.daemon(world.settings("one")).await;
-    ask(&daemon, completion(&daemon, "prompt")).await;
+    send_and_read(&daemon, completion(&daemon, "prompt")).await;
 
     let metrics = request(&daemon, Method::Get, "/metrics");
     let text = send(&daemon, metrics).await.body_string().await.unwrap();
--- a/crates/daemon/tests/daemon/peers.rs
+++ b/crates/daemon/tests/daemon/peers.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{ask, completion, get},
+        client::{completion, get, send_and_read},
         fixture::{fast_engine, settings, start, until, world},
     },
     std::net::SocketAddr,
@@ -46,7 +46,7 @@
 // Guards against a daemon without the fleet's key that reads the records, accounts among them, or sends
 // its own to others: it is listed with them and reaches their port for peers.
 #[async_std::test]
-async fn a_daemon_with_another_key_is_turned_away_and_gets_nothing() {
+async fn a_daemon_with_another_key_is_refused_and_gets_no_records() {
     let world = world(1, fast_engine()).await;
     let one = world.daemon(world.settings("one")).await;
     let mut foreign = settings("foreign", dead_address());
@@ -56,8 +56,7 @@
 
     world.list(&[("one", &one), ("foreign", &foreign)]);
 
-    until(async || one.metrics().peers_turned_away() + foreign.metrics().peers_turned_away() > 0)
-        .await;
+    until(async || one.metrics().refused_links() + foreign.metrics().refused_links() > 0).await;
     assert_eq!(entries(&one).await, [one.caller_address()]);
     let report: RecordsReport = get(&foreign, "/v1/records").await;
     assert_eq!(report.records, []);
@@ -77,18 +76,18 @@
     let two = start(settings).await;
 
     world.wait_until_ready(&two).await;
-    let answer = ask(&two, completion(&two, "prompt")).await;
+    let answer = send_and_read(&two, completion(&two, "prompt")).await;
 
     assert_eq!(answer.outcome.outcome, OutcomeKind::Completed);
 }
 
 #[async_std::test]
-async fn a_daemon_goes_on_while_the_platform_is_down() {
+async fn a_running_daemon_serves_while_the_platform_is_silent() {
     let world = world(1, fast_engine()).await;
     let daemon = world.daemon(world.settings("one")).await;
     world.platform.set_mode(PlatformMode::Silent);
 
-    let answer = ask(&daemon, completion(&daemon, "prompt")).await;
+    let answer = send_and_read(&daemon, completion(&daemon, "prompt")).await;
 
     assert_eq!(answer.outcome.outcome, OutcomeKind::Completed);
 }
--- a/crates/daemon/tests/daemon/prompts.rs
+++ b/crates/daemon/tests/daemon/prompts.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{ask, completion, read_answer, read_first_chunk, send},
+        client::{completion, read_answer, read_first_chunk, send, send_and_read},
         fixture::{MODEL, fast_engine, slow_engine, until, world},
     },
     futures::future::join_all,
@@ -33,15 +33,15 @@
 }
 
 #[async_std::test]
-async fn each_caller_gets_the_whole_answer_to_its_own_prompt() {
+async fn each_caller_gets_the_complete_answer_to_its_own_prompt() {
     let world = world(2, fast_engine()).await;
     let daemon = world.daemon(world.settings("one")).await;
     let prompts: Vec<String> = (0..40).map(|number| format!("prompt {number}")).collect();
 
-    let asked = prompts
+    let requests = prompts
         .iter()
-        .map(|prompt| ask(&daemon, completion(&daemon, prompt)));
-    let answers = join_all(asked).await;
+        .map(|prompt| send_and_read(&daemon, completion(&daemon, prompt)));
+    let answers = join_all(requests).await;
 
     for (prompt, answer) in prompts.iter().zip(answers) {
         assert_eq!(answer.status, 200);
@@ -51,14 +51,15 @@
 }
 
 // Guards against words of another caller's answer in the middle of an answer: the engine sends a chunk
-// of an earlier attempt over a connection that now carries another one.
+// of an earlier attempt over a connection that now carries another one, and the daemon matches chunks by
+// connection only.
 #[async_std::test]
 async fn a_crossed_chunk_reaches_no_caller() {
     let world = world(1, fast_engine()).await;
     let daemon = world.daemon(world.settings("one")).await;
     fault_once(&world.engines[0], AnswerFault::Crossed);
 
-    let answer = ask(&daemon, completion(&daemon, "mine")).await;
+    let answer = send_and_read(&daemon, completion(&daemon, "mine")).await;
 
     assert_eq!(answer.text, expected(&fast_engine(), "mine"));
     assert_eq!(daemon.metrics().dropped_chunks(), 1);
@@ -67,14 +68,14 @@
 // Guards against an answer that is truncated or has words twice: the engine's connection breaks after
 // two chunks, and the break is taken as the end, or the next attempt starts from the beginning.
 #[async_std::test]
-async fn an_answer_that_breaks_off_goes_on_where_it_stopped() {
+async fn an_interrupted_answer_resumes_where_it_stopped() {
     let world = world(2, fast_engine()).await;
     let daemon = world.daemon(world.settings("one")).await;
     for engine in &world.engines {
         fault_once(engine, AnswerFault::BreakAfter(2));
     }
 
-    let answer = ask(&daemon, completion(&daemon, "long story")).await;
+    let answer = send_and_read(&daemon, completion(&daemon, "long story")).await;
 
     assert_eq!(answer.outcome.outcome, OutcomeKind::Completed);
     assert_eq!(answer.text, expected(&fast_engine(), "long story"));
@@ -91,7 +92,7 @@
     let daemon = world.daemon(settings).await;
     fault_once(&world.engines[0], AnswerFault::SilentAfter(2));
 
-    let answer = ask(&daemon, completion(&daemon, "quiet")).await;
+    let answer = send_and_read(&daemon, completion(&daemon, "quiet")).await;
 
     assert_eq!(answer.outcome.outcome, OutcomeKind::Completed);
     assert_eq!(answer.text, expected(&fast_engine(), "quiet"));
@@ -110,11 +111,11 @@
         ..Faults::default()
     });
 
-    let asked = (0..8).map(|number| {
+    let requests = (0..8).map(|number| {
         let request = completion(&daemon, &format!("prompt {number}"));
-        ask(&daemon, request)
+        send_and_read(&daemon, request)
     });
-    let answers = join_all(asked).await;
+    let answers = join_all(requests).await;
 
     for (number, answer) in answers.iter().enumerate() {
         assert_eq!(answer.outcome.outcome, OutcomeKind::Completed);
--- a/crates/daemon/tests/daemon/services.rs
+++ b/crates/daemon/tests/daemon/services.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{ask, get, label_call},
+        client::{get, label_call, send_and_read},
         fixture::{World, fast_engine, until, world},
     },
     whinlatch_daemon::app::Daemon,
@@ -15,7 +15,7 @@
 };
 
 async fn ticket(daemon: &Daemon, body: &str) -> Ticket {
-    let refused = ask(daemon, label_call(daemon, body, None)).await;
+    let refused = send_and_read(daemon, label_call(daemon, body, None)).await;
     assert_eq!(refused.status, 428);
     assert_eq!(refused.outcome.outcome, OutcomeKind::NotRun);
     assert_eq!(refused.outcome.reason, Reason::TicketNeeded);
@@ -47,8 +47,8 @@
     let daemon = world.daemon(world.settings("one")).await;
     let ticket = ticket(&daemon, "parcel 1").await;
 
-    let first = ask(&daemon, label_call(&daemon, "parcel 1", Some(ticket))).await;
-    let again = ask(&daemon, label_call(&daemon, "parcel 1", Some(ticket))).await;
+    let first = send_and_read(&daemon, label_call(&daemon, "parcel 1", Some(ticket))).await;
+    let again = send_and_read(&daemon, label_call(&daemon, "parcel 1", Some(ticket))).await;
 
     for answer in [first, again] {
         assert_eq!(answer.status, 200);
@@ -70,9 +70,9 @@
         ..Faults::default()
     });
 
-    let first = ask(&daemon, label_call(&daemon, "parcel 2", Some(ticket))).await;
+    let first = send_and_read(&daemon, label_call(&daemon, "parcel 2", Some(ticket))).await;
     world.service.set_faults(Faults::default());
-    let again = ask(&daemon, label_call(&daemon, "parcel 2", Some(ticket))).await;
+    let again = send_and_read(&daemon, label_call(&daemon, "parcel 2", Some(ticket))).await;
 
     assert_eq!(first.outcome.outcome, OutcomeKind::Unknown);
     assert_eq!(again.outcome.outcome, OutcomeKind::Unknown);
@@ -91,7 +91,7 @@
         ..Faults::default()
     });
 
-    let answer = ask(&daemon, label_call(&daemon, "parcel 3", Some(ticket))).await;
+    let answer = send_and_read(&daemon, label_call(&daemon, "parcel 3", Some(ticket))).await;
 
     assert_eq!(answer.outcome.outcome, OutcomeKind::Unknown);
     assert_eq!(daemon.metrics().dropped_chunks(), 1);
@@ -108,7 +108,7 @@
     };
     world.service.crash(never_back).await;
 
-    let answer = ask(&daemon, label_call(&daemon, "parcel 4", Some(ticket))).await;
+    let answer = send_and_read(&daemon, label_call(&daemon, "parcel 4", Some(ticket))).await;
 
     assert_eq!(answer.outcome.outcome, OutcomeKind::NotRun);
     assert_eq!(runs(&world, "parcel 4"), 0);
@@ -120,8 +120,8 @@
     let (one, two) = two_daemons(&world).await;
     let ticket = ticket(&one, "parcel 5").await;
 
-    let through_two = ask(&two, label_call(&two, "parcel 5", Some(ticket))).await;
-    let through_one = ask(&one, label_call(&one, "parcel 5", Some(ticket))).await;
+    let through_two = send_and_read(&two, label_call(&two, "parcel 5", Some(ticket))).await;
+    let through_one = send_and_read(&one, label_call(&one, "parcel 5", Some(ticket))).await;
 
     assert_eq!(through_two.text, "ran parcel 5");
     assert_eq!(through_one.text, "ran parcel 5");
@@ -136,7 +136,7 @@
     let ticket = ticket(&one, "parcel 6").await;
     drop(one);
 
-    let answer = ask(&two, label_call(&two, "parcel 6", Some(ticket))).await;
+    let answer = send_and_read(&two, label_call(&two, "parcel 6", Some(ticket))).await;
 
     assert_eq!(answer.outcome.outcome, OutcomeKind::Unknown);
     assert_eq!(answer.outcome.reason, Reason::TicketLost);
--- a/crates/daemon/tests/processes/client.rs
+++ b/crates/daemon/tests/processes/client.rs
@@ -18,7 +18,7 @@
 };
 
 /// A deadline that is never reached in a test, in ms.
-pub const LONG_MS: u64 = 300_000;
+pub const LONG_DEADLINE_MS: u64 = 300_000;
 
 /// A complete answer. Functions return `None` instead if the connection broke before its end.
 #[derive(Debug)]
@@ -64,7 +64,7 @@
 
 /// Gets a ticket for a call.
 pub async fn ticket(address: SocketAddr, body: &str) -> Ticket {
-    let answer = ask(address, call(address, body, None, LONG_MS)).await;
+    let answer = send_and_read(address, call(address, body, None, LONG_DEADLINE_MS)).await;
     let outcome = answer.unwrap().outcome;
     assert_eq!(outcome.reason, Reason::TicketNeeded);
     outcome.ticket.unwrap()
@@ -90,7 +90,7 @@
 }
 
 /// Sends a request and reads the complete answer.
-pub async fn ask(address: SocketAddr, request: Request) -> Option<Answer> {
+pub async fn send_and_read(address: SocketAddr, request: Request) -> Option<Answer> {
     read_answer(send(address, request).await?).await
 }
 
--- a/crates/daemon/tests/processes/leaving.rs
+++ b/crates/daemon/tests/processes/leaving.rs
@@ -2,7 +2,10 @@
 
 use {
     super::{
-        client::{LONG_MS, answer_to, ask, call, completion, get, read_answer, send, ticket},
+        client::{
+            LONG_DEADLINE_MS, answer_to, call, completion, get, read_answer, send, send_and_read,
+            ticket,
+        },
         process::Process,
         wait::until,
         world::{World, WorldOptions, engine, policy, publish, service_name, status},
@@ -33,10 +36,11 @@
 /// Calls to each daemon in each phase of the test of a leaving target.
 const CALLS: usize = 10;
 
-/// Guards against callers that are refused or cut off when a daemon is stopped: before it refuses
-/// requests, no entry may list it any more; streams in flight must complete; then it exits by itself.
+/// Guards against callers that are refused or lose their answer when a daemon is stopped: no entry may
+/// list it any more before it refuses requests, streams in flight must complete, and then it exits by
+/// itself.
 #[test]
-fn a_daemon_told_to_stop_cuts_nothing_off() {
+fn a_stopped_daemon_interrupts_no_request() {
     task::block_on(async {
         let world = World::start(WorldOptions {
             engines: 2,
@@ -76,7 +80,7 @@
 
 async fn stream(daemon: SocketAddr, number: usize, open: Arc<AtomicUsize>) {
     let prompt = format!("manifest {number}\nlist the boxes");
-    let head = send(daemon, completion(daemon, &prompt, LONG_MS)).await;
+    let head = send(daemon, completion(daemon, &prompt, LONG_DEADLINE_MS)).await;
     open.fetch_add(1, Ordering::SeqCst);
     let answer = read_answer(head.unwrap()).await.expect("a complete answer");
     assert_eq!(answer.kind(), OutcomeKind::Completed, "{answer:?}");
@@ -91,7 +95,7 @@
             lists(others[1], own).await,
             lists(own, own).await,
         ];
-        let answer = ask(own, call(own, "label", None, LONG_MS)).await;
+        let answer = send_and_read(own, call(own, "label", None, LONG_DEADLINE_MS)).await;
         let refused = answer.is_none_or(|answer| answer.outcome.reason == Reason::Leaving);
         assert!(!(refused && listed.contains(&true)), "{listed:?}");
         refused
@@ -184,8 +188,8 @@
         for number in 0..CALLS {
             let body = format!("{when} {number} at {}", daemon.callers);
             let ticket = ticket(daemon.callers, &body).await;
-            let request = call(daemon.callers, &body, Some(ticket), LONG_MS);
-            let answer = ask(daemon.callers, request).await.unwrap();
+            let request = call(daemon.callers, &body, Some(ticket), LONG_DEADLINE_MS);
+            let answer = send_and_read(daemon.callers, request).await.unwrap();
             assert_eq!(answer.kind(), OutcomeKind::Completed, "{answer:?}");
             assert_eq!(answer.text, format!("ran {body}"));
         }
--- a/crates/daemon/tests/processes/memory.rs
+++ b/crates/daemon/tests/processes/memory.rs
@@ -1,8 +1,8 @@
-//! Engines get their memory back after failures of the daemon that used it.
+//! The memory of engines is freed after failures of the daemon that used it.
 
 use {
     super::{
-        client::{Answer, LONG_MS, answer_to, ask, completion},
+        client::{Answer, LONG_DEADLINE_MS, answer_to, completion, send_and_read},
         process::Process,
         wait::until,
         world::{World, WorldOptions, engine, settings},
@@ -46,7 +46,7 @@
         .map(|number| {
             let prompt = format!("manifest {number}\n{}", "box ".repeat(PROMPT_BYTES / 4));
             let request = completion(daemon.callers, &prompt, deadline_ms);
-            task::spawn(ask(daemon.callers, request))
+            task::spawn(send_and_read(daemon.callers, request))
         })
         .collect()
 }
@@ -60,10 +60,10 @@
 }
 
 async fn until_free(engine: &Engine) {
-    until("the engine has its memory back", async || {
+    until("the engine's memory is free", async || {
         let stats = engine.stats();
-        let held = (stats.running, stats.waiting, stats.reservations);
-        held == (0, 0, 0) && stats.memory_used_tokens == 0
+        let in_use = (stats.running, stats.waiting, stats.reservations);
+        in_use == (0, 0, 0) && stats.memory_used_tokens == 0
     })
     .await;
 }
@@ -79,11 +79,11 @@
 /// Guards against memory that stays in use after a daemon dies with long prompts at an engine: the
 /// connections close, the engine must free it, and another daemon's prompt must complete.
 #[test]
-fn memory_comes_back_from_a_killed_daemon() {
+fn memory_used_by_a_killed_daemon_is_freed() {
     task::block_on(async {
         let world = world().await;
         let mut fleet = world.fleet(2).await;
-        let answers = long_prompts(&fleet[0], LONG_MS);
+        let answers = long_prompts(&fleet[0], LONG_DEADLINE_MS);
         until_running(&world.engines[0]).await;
 
         fleet[0].kill();
@@ -92,8 +92,8 @@
             assert!(answer.await.is_none(), "an answer from a dead daemon");
         }
         until_free(&world.engines[0]).await;
-        let request = completion(fleet[1].callers, "short", LONG_MS);
-        let answer = ask(fleet[1].callers, request).await.unwrap();
+        let request = completion(fleet[1].callers, "short", LONG_DEADLINE_MS);
+        let answer = send_and_read(fleet[1].callers, request).await.unwrap();
         assert_eq!(answer.kind(), OutcomeKind::Completed, "{answer:?}");
         assert_eq!(answer.text, answer_to("short", 32));
     });
@@ -104,7 +104,7 @@
 /// must cancel prompts that are past their deadline in the engine's report. When the frozen daemon
 /// resumes, its callers get a failure.
 #[test]
-fn memory_comes_back_from_a_frozen_daemon() {
+fn memory_used_by_a_frozen_daemon_is_freed() {
     task::block_on(async {
         let world = world().await;
         let fleet = world.fleet(2).await;
@@ -124,7 +124,7 @@
 /// daemons: not even the end of a connection arrives, nor do its cancels. Another daemon that reaches the
 /// engine must cancel the prompts past their deadline. The callers get a failure by their deadline.
 #[test]
-fn memory_comes_back_from_a_daemon_that_is_cut_off() {
+fn memory_used_by_a_partitioned_daemon_is_freed() {
     task::block_on(async {
         let world = world().await;
         let near = Process::start(&world.settings("near")).await;
--- a/crates/daemon/tests/processes/partition.rs
+++ b/crates/daemon/tests/processes/partition.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{Answer, LONG_MS, ask, call, get, ticket},
+        client::{Answer, LONG_DEADLINE_MS, call, get, send_and_read, ticket},
         process::Process,
         wait::until,
         world::{World, WorldOptions, linked, policy, publish, settings, until_idle, until_linked},
@@ -99,8 +99,8 @@
         let body = format!("label {number} of {}", home.callers);
         let ticket = ticket(home.callers, &body).await;
         let sent = daemons.each_ref().map(|daemon| {
-            let request = call(daemon.callers, &body, Some(ticket), LONG_MS);
-            task::spawn(ask(daemon.callers, request))
+            let request = call(daemon.callers, &body, Some(ticket), LONG_DEADLINE_MS);
+            task::spawn(send_and_read(daemon.callers, request))
         });
         let mut completed = 0;
         for answer in sent {
--- a/crates/daemon/tests/processes/process.rs
+++ b/crates/daemon/tests/processes/process.rs
@@ -18,14 +18,14 @@
     whinlatch_wire::conf::Settings,
 };
 
-/// Number of processes started so far; makes the names of their settings folders unique.
+/// Number of processes started so far; makes the names of their settings directories unique.
 static STARTED: AtomicU32 = AtomicU32::new(0);
 
 /// A daemon process; killed by its id when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    folder: PathBuf,
+    directory: PathBuf,
     lines: Arc<Mutex<Vec<String>>>,
     pub callers: SocketAddr,
     pub peers: SocketAddr,
@@ -34,7 +34,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         self.kill();
-        let _best_effort = fs::remove_dir_all(&self.folder);
+        let _best_effort = fs::remove_dir_all(&self.directory);
         if thread::panicking() {
             let lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
             eprintln!("--- log of {}\n{}", self.callers, lines.join("\n"));
@@ -52,9 +52,9 @@
     fn start_blocking(settings: &Settings) -> Self {
         let number = STARTED.fetch_add(1, Ordering::SeqCst);
         let name = format!("processes-{}-{number}", std::process::id());
-        let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-        fs::create_dir_all(&folder).unwrap();
-        let file = folder.join("whinlatchd.jsonc");
+        let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+        fs::create_dir_all(&directory).unwrap();
+        let file = directory.join("whinlatchd.jsonc");
         fs::write(&file, serde_json::to_string(settings).unwrap()).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_whinlatchd"))
             .arg("--settings")
@@ -69,7 +69,7 @@
         collect_lines(out, Arc::clone(&lines));
         Self {
             child,
-            folder,
+            directory,
             lines,
             callers,
             peers,
--- a/crates/daemon/tests/processes/records.rs
+++ b/crates/daemon/tests/processes/records.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{LONG_MS, answer_to, ask, completion, get},
+        client::{LONG_DEADLINE_MS, answer_to, completion, get, send_and_read},
         process::Process,
         wait::until,
         world::{World, WorldOptions, policy, publish, route, settings},
@@ -44,7 +44,11 @@
 
             world.until_ready(&new).await;
             let prompt = format!("manifest {number}");
-            let answer = ask(new.callers, completion(new.callers, &prompt, LONG_MS)).await;
+            let answer = send_and_read(
+                new.callers,
+                completion(new.callers, &prompt, LONG_DEADLINE_MS),
+            )
+            .await;
             let answer = answer.unwrap();
             assert_eq!(answer.kind(), OutcomeKind::Completed, "{answer:?}");
             assert_eq!(answer.text, answer_to(&prompt, 32));
@@ -58,7 +62,7 @@
 /// Neither running daemons nor new ones may take that state over. Once the platform is correct again,
 /// a newly published record must come into force on all of them.
 #[test]
-fn a_stale_platform_takes_no_record_back() {
+fn a_stale_platform_reverts_no_record() {
     task::block_on(async {
         let world = engine_world().await;
         let deleted = route(&json!({ "type": "model", "model": "gone" }));
--- a/crates/daemon/tests/processes/silence.rs
+++ b/crates/daemon/tests/processes/silence.rs
@@ -2,7 +2,10 @@
 
 use {
     super::{
-        client::{Answer, LONG_MS, answer_to, ask, call, completion, read_answer, send, ticket},
+        client::{
+            Answer, LONG_DEADLINE_MS, answer_to, call, completion, read_answer, send,
+            send_and_read, ticket,
+        },
         process::Process,
         wait::until,
         world::{World, WorldOptions, engine, until_idle},
@@ -24,7 +27,7 @@
 /// Tokens of each stream's answer.
 const TOKENS: u32 = 200;
 /// A deadline that is reached in the test, in ms.
-const SHORT_MS: u64 = 3_000;
+const SHORT_DEADLINE_MS: u64 = 3_000;
 
 /// Guards against answers that stop in the middle without an error: a device between a daemon and its
 /// engines drops the open connections, while new ones work. The daemon must read the engine's report
@@ -69,7 +72,7 @@
 }
 
 async fn stream(daemon: SocketAddr, number: usize, open: Arc<AtomicUsize>) -> Answer {
-    let request = completion(daemon, &prompt(number), LONG_MS);
+    let request = completion(daemon, &prompt(number), LONG_DEADLINE_MS);
     let head = send(daemon, request).await.unwrap();
     open.fetch_add(1, Ordering::SeqCst);
     read_answer(head).await.expect("a complete answer")
@@ -83,7 +86,7 @@
         let world = World::start(WorldOptions {
             services: 2,
             service: ServiceOptions {
-                call_ms: SHORT_MS / 10,
+                call_ms: SHORT_DEADLINE_MS / 10,
                 ..ServiceOptions::default()
             },
             ..WorldOptions::default()
@@ -105,8 +108,8 @@
     for number in 0.. {
         let body = format!("label {number}");
         let ticket = ticket(daemon.callers, &body).await;
-        let request = call(daemon.callers, &body, Some(ticket), SHORT_MS);
-        let answer = task::spawn(ask(daemon.callers, request));
+        let request = call(daemon.callers, &body, Some(ticket), SHORT_DEADLINE_MS);
+        let answer = task::spawn(send_and_read(daemon.callers, request));
         until("the call is at a service", async || {
             world.runs_of(&body) > 0
         })
--- a/crates/daemon/tests/processes/tickets.rs
+++ b/crates/daemon/tests/processes/tickets.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        client::{Answer, LONG_MS, ask, call, ticket},
+        client::{Answer, LONG_DEADLINE_MS, call, send_and_read, ticket},
         process::Process,
         wait::{until, until_past},
         world::{World, WorldOptions, service_name, status, until_idle},
@@ -21,7 +21,7 @@
 /// Duration of a call that is interrupted, in ms; never reached in a test.
 const ENDLESS_MS: u64 = 600_000;
 /// A deadline that is reached in the test, in ms.
-const SHORT_MS: u64 = 3_000;
+const SHORT_DEADLINE_MS: u64 = 3_000;
 
 /// Starts services whose calls take `call_ms`, and no engines.
 async fn services(call_ms: u64) -> World {
@@ -38,21 +38,21 @@
 }
 
 async fn resend(daemon: &Process, body: &str, ticket: Ticket) -> Answer {
-    let request = call(daemon.callers, body, Some(ticket), LONG_MS);
-    ask(daemon.callers, request).await.unwrap()
+    let request = call(daemon.callers, body, Some(ticket), LONG_DEADLINE_MS);
+    send_and_read(daemon.callers, request).await.unwrap()
 }
 
-fn in_background(
+fn send_in_background(
     daemon: &Process,
     body: &str,
     ticket: Ticket,
     deadline_ms: u64,
 ) -> task::JoinHandle<Option<Answer>> {
     let request = call(daemon.callers, body, Some(ticket), deadline_ms);
-    task::spawn(ask(daemon.callers, request))
+    task::spawn(send_and_read(daemon.callers, request))
 }
 
-async fn until_runs(world: &World, body: &str) {
+async fn until_running(world: &World, body: &str) {
     until("the call is at a service", async || world.runs_of(body) > 0).await;
 }
 
@@ -65,21 +65,17 @@
     }
 }
 
-fn run<T>(scenario: impl Future<Output = T>) -> T {
-    task::block_on(scenario)
-}
-
 /// Guards against a second run of a call whose home dies while the service runs it: the caller sees the
 /// connection break and sends the call to another daemon, which can't know whether it ran and must
 /// answer `unknown`.
 #[test]
 fn a_home_killed_during_a_call_leaves_one_run() {
-    run(async {
+    task::block_on(async {
         let world = services(ENDLESS_MS).await;
         let mut fleet = world.fleet(3).await;
         let ticket = ticket(fleet[0].callers, "label 1").await;
-        let first = in_background(&fleet[0], "label 1", ticket, LONG_MS);
-        until_runs(&world, "label 1").await;
+        let first = send_in_background(&fleet[0], "label 1", ticket, LONG_DEADLINE_MS);
+        until_running(&world, "label 1").await;
 
         fleet[0].kill();
 
@@ -90,10 +86,11 @@
 }
 
 /// Guards against a run of a call after its home died between issuing the ticket and receiving the call.
-/// Nothing ran, but no other daemon can know that: the answer must be `unknown`.
+/// Nothing ran, but no other daemon can know that, because the home may have sent the call before it
+/// died: the answer must be `unknown`.
 #[test]
 fn a_home_killed_before_a_call_leaves_no_run() {
-    run(async {
+    task::block_on(async {
         let world = services(1).await;
         let mut fleet = world.fleet(3).await;
         let ticket = ticket(fleet[0].callers, "label 2").await;
@@ -109,7 +106,7 @@
 /// the home is alive, they return the first answer; after it died, they must answer `unknown`.
 #[test]
 fn a_home_killed_after_a_call_leaves_one_run() {
-    run(async {
+    task::block_on(async {
         let world = services(1).await;
         let mut fleet = world.fleet(3).await;
         let ticket = ticket(fleet[0].callers, "label 3").await;
@@ -132,12 +129,12 @@
 /// `unknown`, also when the call is sent again.
 #[test]
 fn a_service_killed_during_a_call_gets_no_second_one() {
-    run(async {
+    task::block_on(async {
         let world = services(ENDLESS_MS).await;
         let fleet = world.fleet(2).await;
         let ticket = ticket(fleet[0].callers, "label 4").await;
-        let first = in_background(&fleet[0], "label 4", ticket, LONG_MS);
-        until_runs(&world, "label 4").await;
+        let first = send_in_background(&fleet[0], "label 4", ticket, LONG_DEADLINE_MS);
+        until_running(&world, "label 4").await;
 
         let runs_it = |service: &&PlainService| service.stats().running > 0;
         let service = world.services.iter().find(runs_it).unwrap();
@@ -159,7 +156,7 @@
 /// the daemon can't distinguish that from a call that never started, and must answer `unknown`.
 #[test]
 fn a_lost_answer_is_no_reason_to_run_again() {
-    run(async {
+    task::block_on(async {
         let world = services(1).await;
         let fleet = world.fleet(2).await;
         for service in &world.services {
@@ -184,15 +181,15 @@
 /// the other service.
 #[test]
 fn a_frozen_home_sends_nothing_after_the_deadline() {
-    run(async {
+    task::block_on(async {
         let world = services(1).await;
         let fleet = world.fleet(2).await;
         let in_flight = freeze_with_a_call(&world, &fleet[0]).await;
         let ticket = in_flight.ticket;
 
-        let request = call(fleet[1].callers, "label 6", Some(ticket), SHORT_MS);
-        let elsewhere = ask(fleet[1].callers, request).await.unwrap();
-        until_past(in_flight.sent + Duration::from_millis(SHORT_MS)).await;
+        let request = call(fleet[1].callers, "label 6", Some(ticket), SHORT_DEADLINE_MS);
+        let elsewhere = send_and_read(fleet[1].callers, request).await.unwrap();
+        until_past(in_flight.sent + Duration::from_millis(SHORT_DEADLINE_MS)).await;
         resume_full(&world.services[in_flight.service]);
         world.services[1 - in_flight.service].set_faults(Faults::default());
         fleet[0].resume();
@@ -231,13 +228,14 @@
         };
         set_all(world, &frozen);
         let sent = Instant::now();
-        let answer = in_background(daemon, "label 6", ticket, SHORT_MS);
+        let answer = send_in_background(daemon, "label 6", ticket, SHORT_DEADLINE_MS);
         let mut service = None;
-        while service.is_none() && sent.elapsed() < Duration::from_millis(SHORT_MS) {
+        while service.is_none() && sent.elapsed() < Duration::from_millis(SHORT_DEADLINE_MS) {
             service = in_flight_at(daemon).await;
         }
         daemon.freeze();
-        if let Some(service) = service.filter(|_| sent.elapsed() < Duration::from_millis(SHORT_MS))
+        if let Some(service) =
+            service.filter(|_| sent.elapsed() < Duration::from_millis(SHORT_DEADLINE_MS))
         {
             return InFlightCall {
                 ticket,
