--- a/crates/bench/src/capacity/fleet/counters.rs
+++ b/crates/bench/src/capacity/fleet/counters.rs
@@ -5,13 +5,13 @@
 pub struct Counters {
     /// Peer frames sent.
     pub frames_out: u64,
-    /// Bytes of peer frames sent, including websocket headers.
+    /// Bytes of peer frames sent, including WebSocket headers.
     pub peer_bytes_out: u64,
-    /// Bytes of peer frames received, including websocket headers.
+    /// Bytes of peer frames received, including WebSocket headers.
     pub peer_bytes_in: u64,
     /// Frames that the codec rejected as too large.
     pub frames_too_large: u64,
-    /// Calls to targets, not counting attempts.
+    /// Control calls to targets, which are all calls but attempts.
     pub target_calls: u64,
     /// Bytes of those calls, including HTTP headers.
     pub target_bytes_out: u64,
--- a/crates/bench/src/capacity/fleet/deliver.rs
+++ b/crates/bench/src/capacity/fleet/deliver.rs
@@ -17,7 +17,7 @@
 
 /// Length of a handshake proof, in bytes.
 const PROOF_BYTES: usize = 32;
-/// Mask in the header of each websocket message from the side that opened the link, in bytes.
+/// Mask in the header of each WebSocket message from the side that opened the link, in bytes.
 const MASK_BYTES: u64 = 4;
 
 /// A message that arrives in the next round.
@@ -263,7 +263,7 @@
     }
 }
 
-/// Returns the size of a websocket message with a frame of this size: header and frame, and half a mask,
+/// Returns the size of a WebSocket message with a frame of this size: header and frame, and half a mask,
 /// since only one side of a link masks.
 fn websocket_bytes(frame: usize) -> u64 {
     let header = match frame {
--- a/crates/bench/src/capacity/fleet/network.rs
+++ b/crates/bench/src/capacity/fleet/network.rs
@@ -19,7 +19,7 @@
 };
 
 /// Interval between ticks, in ms.
-const TICK_MS: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 /// Maximum rounds of messages per tick. Messages still queued then are delivered after the next tick.
 const MAX_ROUNDS_PER_TICK: usize = 64;
 /// Maximum size of the values in a page of records, in bytes.
@@ -125,7 +125,7 @@
 
     /// Advances time by one tick and sends each running daemon a tick.
     pub fn tick(&mut self) {
-        self.now = self.now + TICK_MS;
+        self.now = self.now + TICK_INTERVAL_MS;
         self.expire_watches();
         for number in 0..self.daemons.len() {
             if self.daemons[number].alive {
@@ -136,7 +136,7 @@
 
     /// Advances time by a number of seconds.
     pub fn run_s(&mut self, seconds: u64) {
-        for _ in 0..seconds * 1_000 / TICK_MS {
+        for _ in 0..seconds * 1_000 / TICK_INTERVAL_MS {
             self.step();
         }
     }
--- a/crates/bench/src/capacity/fleet/target_calls.rs
+++ b/crates/bench/src/capacity/fleet/target_calls.rs
@@ -1,4 +1,4 @@
-//! Responses of simulated targets to calls other than attempts.
+//! Responses of simulated targets to control calls, which are all calls but attempts.
 
 use {
     super::published::{target_incarnation, target_number},
--- a/crates/bench/src/capacity/measure.rs
+++ b/crates/bench/src/capacity/measure.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Measures what is the same in each run, at small sizes.
+/// Measures what is the same in each run, at small sizes that take seconds.
 pub fn exact() -> Report {
     let mut report = Report::default();
     report.add(peers::measure(&peers::EXACT_SIZES));
--- a/crates/bench/src/capacity/measure/measurement.rs
+++ b/crates/bench/src/capacity/measure/measurement.rs
@@ -56,7 +56,7 @@
     fn from_str(text: &str) -> Result<Self, UnknownMeasurement> {
         let found = MEASUREMENTS.iter().find(|(name, _)| *name == text);
         found
-            .map(|(_, part)| *part)
+            .map(|(_, measurement)| *measurement)
             .ok_or_else(|| UnknownMeasurement {
                 name: text.to_owned(),
             })
--- a/crates/bench/src/capacity/measure/streams.rs
+++ b/crates/bench/src/capacity/measure/streams.rs
@@ -28,7 +28,7 @@
 /// Ticks over which CPU time is counted.
 const TICKS: u64 = 200;
 /// Interval between ticks, in ms.
-const TICK_MS: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 /// Nanoseconds per millisecond.
 const NS_PER_MS: f64 = 1e6;
 
@@ -89,7 +89,7 @@
         let actions = timed(&mut cpu_ns, || loaded.core.handle(now, Event::Tick));
         drop(actions);
     }
-    let seconds = (TICKS * TICK_MS) as f64 / 1_000.0;
+    let seconds = (TICKS * TICK_INTERVAL_MS) as f64 / 1_000.0;
     cpu_ns as f64 / NS_PER_MS / seconds
 }
 
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -22,17 +22,19 @@
     let policy = policy::policy_args()
         .map(Command::Policy)
         .to_options()
-        .descr("Plays a mix of requests against N daemons' decisions and compares policies.")
+        .descr(
+            "Simulates a mix of requests against the decisions of N daemons and compares policies.",
+        )
         .command("policy");
     let capacity = capacity::capacity_args()
         .map(Command::Capacity)
         .to_options()
-        .descr("Measures what control costs for each peer, target, record and change.")
+        .descr("Measures the cost of control per peer, target, record and change.")
         .command("capacity");
     let path = path::path_args()
         .map(Command::Path)
         .to_options()
-        .descr("Measures the daemon as a process: added time, rate, memory, idle share.")
+        .descr("Measures the daemon as a process: added latency, throughput, memory, CPU usage when idle.")
         .command("path");
     construct!([policy, capacity, path])
         .to_options()
--- a/crates/bench/src/path/args.rs
+++ b/crates/bench/src/path/args.rs
@@ -22,8 +22,12 @@
 
 /// Returns the parser of the command's options.
 pub fn path_args() -> impl Parser<PathArgs> {
-    let requests = count("requests", "Requests sent each way", DEFAULT_REQUESTS);
-    let streams = count("streams", "Streams open at once", DEFAULT_STREAMS);
+    let requests = count(
+        "requests",
+        "Requests sent to the engine, and as many through the daemon",
+        DEFAULT_REQUESTS,
+    );
+    let streams = count("streams", "Streams open at the same time", DEFAULT_STREAMS);
     let concurrency = count(
         "concurrency",
         "Requests in flight in the closed loop",
--- a/crates/bench/src/path/client.rs
+++ b/crates/bench/src/path/client.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Sends a prompt to an engine as a daemon does, and reads the whole answer.
+/// Sends a prompt to an engine as a daemon does, and reads the complete answer.
 pub async fn request_engine(
     engine: SocketAddr,
     incarnation: Incarnation,
@@ -94,7 +94,7 @@
         .await
 }
 
-/// Sends a prompt to a daemon and reads the whole answer.
+/// Sends a prompt to a daemon and reads the complete answer.
 pub async fn request_daemon(
     daemon: SocketAddr,
     prompt: &CompletionRequest,
--- a/crates/bench/src/path/report.rs
+++ b/crates/bench/src/path/report.rs
@@ -67,10 +67,10 @@
         ("open", streams.open),
         ("after", streams.after),
     ];
-    for (name, held) in rows {
+    for (name, resources) in rows {
         println!(
             "{name:<10} {:>9} {:>9} {:>12} {:>8}",
-            held.rss_kib, held.peak_rss_kib, held.descriptors, held.threads
+            resources.rss_kib, resources.peak_rss_kib, resources.descriptors, resources.threads
         );
     }
     println!(
--- a/crates/bench/src/policy/arrivals.rs
+++ b/crates/bench/src/policy/arrivals.rs
@@ -21,7 +21,7 @@
     pub answer_tokens: u32,
     /// Deadline, in ms from the arrival.
     pub deadline_ms: u64,
-    /// Hash of the prompt's prefix at the end of each whole block.
+    /// Hash of the prompt's prefix at the end of each complete block.
     pub prefix_hashes: Vec<u64>,
 }
 
--- a/crates/bench/src/policy/baseline.rs
+++ b/crates/bench/src/policy/baseline.rs
@@ -48,7 +48,7 @@
     by_name: HashMap<TargetName, usize>,
     /// Round-robin cursor.
     cursor: usize,
-    requests: BTreeMap<RequestId, Entry>,
+    requests: BTreeMap<RequestId, OpenRequest>,
     by_attempt: HashMap<AttemptId, RequestId>,
     actions: Vec<Action>,
 }
@@ -67,7 +67,7 @@
 
 /// An open request.
 #[derive(Debug)]
-struct Entry {
+struct OpenRequest {
     prompt_tokens: u64,
     max_tokens: u32,
     deadline: MonoMs,
@@ -121,21 +121,20 @@
                 self.call(target, TargetCall::Report);
             }
         }
-        let expired: Vec<RequestId> = self.requests_where(|entry| entry.deadline <= now);
+        let expired: Vec<RequestId> = self.requests_where(|open| open.deadline <= now);
         for request in expired {
             self.finish(request, OutcomeKind::Unknown, Reason::DeadlineReached);
         }
-        let to_retry =
-            self.requests_where(|entry| entry.group_retry_at.is_some_and(|at| at <= now));
+        let to_retry = self.requests_where(|open| open.group_retry_at.is_some_and(|at| at <= now));
         for request in to_retry {
             self.route(now, request);
         }
     }
 
-    fn requests_where(&self, matches: impl Fn(&Entry) -> bool) -> Vec<RequestId> {
+    fn requests_where(&self, matches: impl Fn(&OpenRequest) -> bool) -> Vec<RequestId> {
         self.requests
             .iter()
-            .filter(|(_, entry)| matches(entry))
+            .filter(|(_, open)| matches(open))
             .map(|(request, _)| *request)
             .collect()
     }
@@ -149,7 +148,7 @@
         else {
             return;
         };
-        let entry = Entry {
+        let open = OpenRequest {
             prompt_tokens,
             max_tokens,
             deadline: now + submission.deadline_ms,
@@ -160,17 +159,17 @@
             granted: 0,
             group_retry_at: None,
         };
-        self.requests.insert(submission.request, entry);
+        self.requests.insert(submission.request, open);
         self.route(now, submission.request);
     }
 
     fn route(&mut self, now: MonoMs, request: RequestId) {
         let provider = self.draw_provider();
-        let Some(entry) = self.requests.get_mut(&request) else {
+        let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        entry.group_retry_at = None;
-        let engines = engines_needed(entry.prompt_tokens, entry.max_tokens);
+        open.group_retry_at = None;
+        let engines = engines_needed(open.prompt_tokens, open.max_tokens);
         let mut chosen: Vec<usize> = Vec::new();
         for _ in 0..engines {
             let Some(target) = self.choose(provider, &chosen) else {
@@ -247,13 +246,13 @@
             .iter()
             .map(|target| (AttemptId(self.rng.u128(..)), *target))
             .collect();
-        let Some(entry) = self.requests.get_mut(&request) else {
+        let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        let tokens = entry.prompt_tokens + u64::from(entry.max_tokens);
-        let hold_ms = entry.deadline.since(now);
-        entry.group.clone_from(&group);
-        entry.granted = 0;
+        let tokens = open.prompt_tokens + u64::from(open.max_tokens);
+        let hold_ms = open.deadline.since(now);
+        open.group.clone_from(&group);
+        open.granted = 0;
         for (reservation, target) in group {
             self.by_attempt.insert(reservation, request);
             let Some(incarnation) = self.targets[target].incarnation else {
@@ -276,30 +275,30 @@
 
     fn dispatch(&mut self, request: RequestId, target: usize, now: MonoMs) {
         let attempt = AttemptId(self.rng.u128(..));
-        let Some(entry) = self.requests.get_mut(&request) else {
+        let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
         let Some(incarnation) = self.targets[target].incarnation else {
             return;
         };
-        entry.attempts += 1;
-        entry.sent = true;
-        entry.in_flight = Some((attempt, target));
+        open.attempts += 1;
+        open.sent = true;
+        open.in_flight = Some((attempt, target));
         self.targets[target].in_flight += 1;
         self.by_attempt.insert(attempt, request);
-        let members = entry.group.iter().skip(1);
+        let members = open.group.iter().skip(1);
         self.actions.push(Action::Dispatch(Box::new(Dispatch {
             request,
             attempt,
             target: target_name(target),
             address: target_address(target),
             expect_incarnation: incarnation,
-            deadline: entry.deadline,
+            deadline: open.deadline,
             send_before: now,
             priority: 5,
             version: None,
             resume: false,
-            reservation: entry.group.first().map(|(reservation, _)| *reservation),
+            reservation: open.group.first().map(|(reservation, _)| *reservation),
             group: members
                 .map(|(reservation, target)| GroupMember {
                     address: target_address(*target),
@@ -322,7 +321,7 @@
                 let may_retry = self
                     .requests
                     .get(&request)
-                    .is_some_and(|entry| entry.attempts < MAX_ATTEMPTS);
+                    .is_some_and(|open| open.attempts < MAX_ATTEMPTS);
                 if may_retry {
                     self.route(now, request);
                 } else {
@@ -362,12 +361,12 @@
         let Some(request) = self.by_attempt.get(&reservation).copied() else {
             return;
         };
-        let Some(entry) = self.requests.get_mut(&request) else {
+        let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        entry.granted += 1;
-        if entry.granted == entry.group.len() {
-            let leader = entry.group[0].1;
+        open.granted += 1;
+        if open.granted == open.group.len() {
+            let leader = open.group[0].1;
             self.dispatch(request, leader, now);
         }
     }
@@ -378,18 +377,18 @@
         };
         self.cancel_and_release(request);
         let delay_ms = self.rng.u64(MAX_GROUP_RETRY_MS / 2..=MAX_GROUP_RETRY_MS);
-        if let Some(entry) = self.requests.get_mut(&request) {
-            entry.group_retry_at = Some(now + delay_ms);
+        if let Some(open) = self.requests.get_mut(&request) {
+            open.group_retry_at = Some(now + delay_ms);
         }
     }
 
     /// Cancels the attempt in flight and releases all reservations.
     fn cancel_and_release(&mut self, request: RequestId) {
-        let Some(entry) = self.requests.get_mut(&request) else {
+        let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        let in_flight = entry.in_flight.take();
-        let group = std::mem::take(&mut entry.group);
+        let in_flight = open.in_flight.take();
+        let group = std::mem::take(&mut open.group);
         if let Some((attempt, target)) = in_flight {
             self.by_attempt.remove(&attempt);
             let state = &mut self.targets[target];
--- a/crates/bench/src/policy/engine.rs
+++ b/crates/bench/src/policy/engine.rs
@@ -34,7 +34,7 @@
     pub engines: usize,
     /// The group's reservation on this engine; absent for a single engine.
     pub reservation: Option<AttemptId>,
-    /// Hash of the prompt's prefix at the end of each whole block.
+    /// Hash of the prompt's prefix at the end of each complete block.
     pub prefix_hashes: Vec<u64>,
     /// Prompt tokens processed so far.
     pub prefilled_tokens: u64,
@@ -111,7 +111,7 @@
     pub fn submit(&mut self, job: Job, expect: Incarnation) -> Result<(), Refusal> {
         let reserved = job
             .reservation
-            .is_none_or(|held| self.reservations.contains_key(&held));
+            .is_none_or(|reservation| self.reservations.contains_key(&reservation));
         let reason = if expect != self.incarnation {
             RefusalReason::OtherIncarnation
         } else if self.leaving {
@@ -154,7 +154,8 @@
 
     /// Moves waiting requests into the batch in order while slots and memory last.
     fn admit(&mut self, now_us: u64) {
-        self.reservations.retain(|_, held| held.until_us > now_us);
+        self.reservations
+            .retain(|_, reservation| reservation.until_us > now_us);
         while let Some(next) = self.waiting.first() {
             let fits = self.used_tokens() + next.memory_tokens <= MEMORY_TOKENS;
             if self.running.len() >= SLOTS as usize || !fits {
@@ -239,7 +240,8 @@
 
     /// Reserves memory or extends a reservation. Returns `false` if the engine refuses.
     pub fn reserve(&mut self, now_us: u64, request: &ReserveRequest) -> bool {
-        self.reservations.retain(|_, held| held.until_us > now_us);
+        self.reservations
+            .retain(|_, reservation| reservation.until_us > now_us);
         if request.expect_incarnation != self.incarnation
             || self.leaving && !self.has_reservation(request)
         {
@@ -248,12 +250,12 @@
         if !self.has_reservation(request) && self.used_tokens() + request.tokens > MEMORY_TOKENS {
             return false;
         }
-        let held = Reservation {
+        let reservation = Reservation {
             owner: request.owner,
             tokens: request.tokens,
             until_us: now_us + request.hold_ms * 1_000,
         };
-        self.reservations.insert(request.reservation, held);
+        self.reservations.insert(request.reservation, reservation);
         self.cache.shrink(MEMORY_TOKENS - self.used_tokens());
         true
     }
@@ -317,16 +319,16 @@
 
     fn used_tokens(&self) -> u64 {
         let jobs: u64 = self.running.iter().map(|job| job.memory_tokens).sum();
-        let held: u64 = self.reservations.values().map(|held| held.tokens).sum();
-        jobs + held
+        let reserved: u64 = self.reservations.values().map(|r| r.tokens).sum();
+        jobs + reserved
     }
 }
 
-fn holding((attempt, held): (&AttemptId, &Reservation)) -> Holding {
+fn holding((attempt, reservation): (&AttemptId, &Reservation)) -> Holding {
     Holding {
         attempt: *attempt,
-        owner: held.owner,
-        tokens: held.tokens,
+        owner: reservation.owner,
+        tokens: reservation.tokens,
         overdue_ms: 0,
         reservation: true,
     }
--- a/crates/bench/src/policy/prefix_cache.rs
+++ b/crates/bench/src/policy/prefix_cache.rs
@@ -3,7 +3,7 @@
     whinlatch_wire::target::{CacheEvent, PREFIX_BLOCK_TOKENS},
 };
 
-/// Prefix cache of a simulated engine: whole blocks with least-recently-used eviction.
+/// Prefix cache of a simulated engine: complete blocks with least-recently-used eviction.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
     /// Number of the latest use of each block, by its hash.
--- a/crates/bench/src/policy/simulation.rs
+++ b/crates/bench/src/policy/simulation.rs
@@ -24,9 +24,9 @@
 };
 
 /// Interval between ticks of a daemon, in µs.
-const TICK_US: u64 = 50_000;
+const TICK_INTERVAL_US: u64 = 50_000;
 /// Interval between snapshots of an engine's load, in µs.
-const SNAPSHOT_US: u64 = 100_000;
+const SNAPSHOT_INTERVAL_US: u64 = 100_000;
 /// Virtual time before the first request, in µs, for daemons to open links and read load reports.
 const WARM_UP_US: u64 = 3_000_000;
 const US_PER_S: u64 = 1_000_000;
@@ -38,7 +38,7 @@
     StepEnd { engine: usize, step: u64 },
     Tick(usize),
     Snapshot(usize),
-    Death(usize),
+    Crash(usize),
     Restart(usize),
     Leave(usize),
 }
@@ -133,7 +133,7 @@
                 let hello = hello_of(peer);
                 self.inbox.push_back((daemon, Event::PeerUp { hello }));
             }
-            let phase_us = self.rng.u64(0..TICK_US);
+            let phase_us = self.rng.u64(0..TICK_INTERVAL_US);
             self.schedule(phase_us, SimEvent::Tick(daemon));
         }
         for index in 0..self.traces.len() {
@@ -142,7 +142,7 @@
             self.schedule(at_us, SimEvent::Arrival(index));
         }
         if let Some(every_s) = self.setup.faults.death_every_s {
-            self.schedule(WARM_UP_US + every_s * US_PER_S, SimEvent::Death(0));
+            self.schedule(WARM_UP_US + every_s * US_PER_S, SimEvent::Crash(0));
         }
         for leaving in &self.setup.faults.leaving {
             self.schedule(leaving.at_s * US_PER_S, SimEvent::Leave(leaving.target));
@@ -161,11 +161,11 @@
             SimEvent::Arrival(index) => self.on_arrival(index),
             SimEvent::StepEnd { engine, step } => self.on_step_end(engine, step),
             SimEvent::Tick(daemon) => {
-                self.schedule(self.now_us + TICK_US, SimEvent::Tick(daemon));
+                self.schedule(self.now_us + TICK_INTERVAL_US, SimEvent::Tick(daemon));
                 self.inbox.push_back((daemon, Event::Tick));
             }
             SimEvent::Snapshot(engine) => self.take_snapshot(engine),
-            SimEvent::Death(engine) => self.on_death(engine),
+            SimEvent::Crash(engine) => self.on_crash(engine),
             SimEvent::Restart(engine) => {
                 let incarnation = Incarnation(self.rng.u128(..));
                 self.engines[engine].restart(incarnation);
@@ -412,18 +412,21 @@
     }
 
     fn take_snapshot(&mut self, engine: usize) {
-        self.schedule(self.now_us + SNAPSHOT_US, SimEvent::Snapshot(engine));
+        self.schedule(
+            self.now_us + SNAPSHOT_INTERVAL_US,
+            SimEvent::Snapshot(engine),
+        );
         let report = self.engines[engine].report();
         let snapshots = &mut self.snapshots[engine];
         snapshots.push_back((self.now_us, report));
-        let max_snapshots = self.setup.faults.report_lag_ms * 1_000 / SNAPSHOT_US + 2;
+        let max_snapshots = self.setup.faults.report_lag_ms * 1_000 / SNAPSHOT_INTERVAL_US + 2;
         while snapshots.len() as u64 > max_snapshots {
             snapshots.pop_front();
         }
     }
 
     /// Crashes an engine. Its attempts fail, and so do the groups that had memory reserved on it.
-    fn on_death(&mut self, engine: usize) {
+    fn on_crash(&mut self, engine: usize) {
         let lost = self.engines[engine].crash();
         self.snapshots[engine].clear();
         for update in lost {
@@ -451,7 +454,7 @@
         );
         if let Some(every_s) = faults.death_every_s {
             let next = (engine + 1) % self.setup.targets;
-            self.schedule(self.now_us + every_s * US_PER_S, SimEvent::Death(next));
+            self.schedule(self.now_us + every_s * US_PER_S, SimEvent::Crash(next));
         }
     }
 }
