--- a/crates/bench/src/capacity/fleet/network.rs
+++ b/crates/bench/src/capacity/fleet/network.rs
@@ -200,7 +200,7 @@
     }
 
     /// Counts the daemons that consider the current run of any of these others alive.
-    pub fn considering_alive(&self, numbers: &[usize]) -> usize {
+    pub fn daemons_considering_alive(&self, numbers: &[usize]) -> usize {
         let runs: HashSet<Incarnation> = numbers
             .iter()
             .map(|number| self.daemons[*number].hello.incarnation)
--- a/crates/bench/src/capacity/measure/faults.rs
+++ b/crates/bench/src/capacity/measure/faults.rs
@@ -66,10 +66,12 @@
     let mut fleet = Fleet::new(peers::options(daemons));
     fleet.run_s(SETTLE_S);
     fleet.kill(FAILING);
-    let suspected_ms = time_until(&mut fleet, |fleet| fleet.considering_alive(&[FAILING]) == 0);
+    let suspected_ms = time_until(&mut fleet, |fleet| {
+        fleet.daemons_considering_alive(&[FAILING]) == 0
+    });
     fleet.restart(FAILING);
     let known_ms = time_until(&mut fleet, |fleet| {
-        fleet.considering_alive(&[FAILING]) == daemons - 1
+        fleet.daemons_considering_alive(&[FAILING]) == daemons - 1
     });
     [
         Figure::new(
@@ -99,7 +101,9 @@
     for number in &lost {
         fleet.kill(*number);
     }
-    let suspected_ms = time_until(&mut fleet, |fleet| fleet.considering_alive(&lost) == 0);
+    let suspected_ms = time_until(&mut fleet, |fleet| {
+        fleet.daemons_considering_alive(&lost) == 0
+    });
     [
         Figure::new("faults.domain.daemons", lost.len() as f64, "daemons"),
         Figure::new("faults.domain.suspected_after", suspected_ms, "ms"),
--- a/crates/daemon/src/targets/calls.rs
+++ b/crates/daemon/src/targets/calls.rs
@@ -19,9 +19,9 @@
 const MAX_READ_BYTES: u64 = 16 * 1_048_576;
 /// Times that a cancel or release is sent until it succeeds. Both are idempotent. If all fail, the
 /// target frees the resources at its own deadline.
-const MAX_FREE_ATTEMPTS: u32 = 5;
-/// Time between two of these attempts, in ms.
-const FREE_RETRY_INTERVAL_MS: u64 = 500;
+const MAX_SENDS: u32 = 5;
+/// Time between two of these sends, in ms.
+const RESEND_INTERVAL_MS: u64 = 500;
 /// HTTP statuses of success.
 const SUCCESS: std::ops::Range<u16> = 200..300;
 
@@ -117,9 +117,9 @@
         .is_ok_and(|refusal| refusal.attempt == reservation)
 }
 
-/// Sends a cancel or release, and sends it again until it succeeds or the attempts are used up.
+/// Sends a cancel or release, and sends it again until it succeeds or `MAX_SENDS` is reached.
 async fn send_until_done<T: Serialize>(shared: &Shared, address: SocketAddr, path: &str, body: &T) {
-    for _attempt in 0..MAX_FREE_ATTEMPTS {
+    for _send in 0..MAX_SENDS {
         let send_before = shared.clock.now() + CALL_TIMEOUT_MS;
         let posted = post_json(shared, address, path, body, send_before, CALL_TIMEOUT_MS);
         if posted
@@ -128,6 +128,6 @@
         {
             return;
         }
-        shared.clock.sleep(FREE_RETRY_INTERVAL_MS).await;
+        shared.clock.sleep(RESEND_INTERVAL_MS).await;
     }
 }
--- a/crates/daemon/tests/processes/leaving.rs
+++ b/crates/daemon/tests/processes/leaving.rs
@@ -30,9 +30,9 @@
 /// Open streams when a daemon is stopped.
 const STREAMS: usize = 3;
 /// Tokens of an answer that is long enough to be incomplete when its daemon refuses new requests.
-const LONG_ANSWER: u32 = 600;
+const LONG_ANSWER_TOKENS: u32 = 600;
 /// Time for which callers cache entries, in ms.
-const TTL_MS: u64 = 1_000;
+const ENTRIES_TTL_MS: u64 = 1_000;
 /// Calls to each daemon in each phase of the test of a leaving target.
 const CALLS: usize = 10;
 
@@ -46,13 +46,13 @@
             engines: 2,
             engine: EngineOptions {
                 decode_tokens_per_s: 50.0,
-                answer_tokens: LONG_ANSWER,
+                answer_tokens: LONG_ANSWER_TOKENS,
                 ..engine()
             },
             ..WorldOptions::default()
         })
         .await;
-        publish(&world.platform, "policy", &policy(TTL_MS));
+        publish(&world.platform, "policy", &policy(ENTRIES_TTL_MS));
         let mut fleet = world.fleet(3).await;
         let (own, others) = (fleet[0].callers, [fleet[1].callers, fleet[2].callers]);
         let open = Arc::new(AtomicUsize::new(0));
@@ -84,7 +84,10 @@
     open.fetch_add(1, Ordering::SeqCst);
     let answer = read_answer(head.unwrap()).await.expect("a complete answer");
     assert_eq!(answer.kind(), OutcomeKind::Completed, "{answer:?}");
-    assert_eq!(answer.text, answer_to(&prompt, u64::from(LONG_ANSWER)));
+    assert_eq!(
+        answer.text,
+        answer_to(&prompt, u64::from(LONG_ANSWER_TOKENS))
+    );
 }
 
 /// Requests tickets until the daemon refuses; by then no entry may list it.
--- a/crates/daemon/tests/processes/silence.rs
+++ b/crates/daemon/tests/processes/silence.rs
@@ -25,7 +25,7 @@
 /// Streams that are open when their connections go silent.
 const STREAMS: usize = 3;
 /// Tokens of each stream's answer.
-const TOKENS: u32 = 200;
+const ANSWER_TOKENS: u32 = 200;
 /// A deadline that is reached in the test, in ms.
 const SHORT_DEADLINE_MS: u64 = 3_000;
 
@@ -39,7 +39,7 @@
             engines: 2,
             engine: EngineOptions {
                 decode_tokens_per_s: 50.0,
-                answer_tokens: TOKENS,
+                answer_tokens: ANSWER_TOKENS,
                 ..engine()
             },
             ..WorldOptions::default()
@@ -62,7 +62,10 @@
         for (number, stream) in streams.into_iter().enumerate() {
             let answer = stream.await;
             assert_eq!(answer.kind(), OutcomeKind::Completed, "{answer:?}");
-            assert_eq!(answer.text, answer_to(&prompt(number), u64::from(TOKENS)));
+            assert_eq!(
+                answer.text,
+                answer_to(&prompt(number), u64::from(ANSWER_TOKENS))
+            );
         }
     });
 }
