--- a/crates/daemon/src/callers/pages.rs
+++ b/crates/daemon/src/callers/pages.rs
@@ -36,8 +36,7 @@
     };
     match shared.control.decisions(request).await {
         Ok(None) => {
-            let message = "no decisions of this request are stored here: query the entry that received \
-                           it soon after";
+            let message = "no decisions of this request here: query its entry, soon after its end";
             Answer::Ended(Refusal::with_status(404, Reason::BadRequest, message))
         }
         found => page(found),
