--- a/crates/daemon/src/entry/http.rs
+++ b/crates/daemon/src/entry/http.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 as callers and targets of published routes speak it: heads of any configured size, and
-//! paths and bodies byte for byte, which the HTTP library of the other interface doesn't promise.
+//! HTTP/1.1 for the callers and targets of published routes. Heads may be as large as configured, and paths and
+//! bodies are passed on byte for byte; the HTTP library (`async-h1`) that the rest of the daemon uses guarantees
+//! neither.
 
 mod body_decoder;
 mod head_reader;
@@ -8,7 +9,7 @@
 mod response_head;
 
 pub use {
-    body_decoder::{BodyDecoder, BodyFault, Progress},
+    body_decoder::{BodyDecoder, BodyFault, BodyProgress},
     head_reader::{HeadFault, find_head_end},
     input::Input,
     request_head::{Framing, RequestHead},
--- a/crates/daemon/src/entry/permits.rs
+++ b/crates/daemon/src/entry/permits.rs
@@ -1,4 +1,4 @@
-//! Permission to send to targets that name a limit, of the instance that grants it for all.
+//! Permission to send to targets with a limit, granted by the instance that holds the quota for all.
 
 use {
     super::{decision_line::Decision, entry_state::EntryState},
@@ -11,37 +11,38 @@
     },
 };
 
-/// Time for the answer to an ask, in ms: two crossings of the network, and what a small instance needs to come
-/// to it.
-const PERMIT_MS: u64 = 40;
+/// Timeout for the response to a permit request, in ms: two network crossings, and the time that a small
+/// instance takes to process it.
+const PERMIT_TIMEOUT_MS: u64 = 40;
 
-/// Whether a request may be sent to a target now.
+/// Whether a request may be sent to a target now. Asks the holder of the quota if necessary, and logs a
+/// refusal.
 pub async fn is_permitted(state: &EntryState, target: &TargetId) -> bool {
     let permission = state.serving().request_permission(state.now(), target);
-    let asked = match permission {
+    let asked_holder = match permission {
         Permission::Granted => return true,
         Permission::Refused => None,
         Permission::AskHolder { holder, request } => {
-            let answer = ask_holder(state, holder, &request).await;
+            let response = ask_holder(state, holder, &request).await;
             let now = state.now();
-            if state.serving().apply_permit_response(now, target, answer) {
+            if state.serving().apply_permit_response(now, target, response) {
                 return true;
             }
             Some(holder)
         }
     };
-    log_refusal(state, target, asked);
+    log_refusal(state, target, asked_holder);
     false
 }
 
-fn log_refusal(state: &EntryState, target: &TargetId, asked: Option<SocketAddr>) {
+fn log_refusal(state: &EntryState, target: &TargetId, asked_holder: Option<SocketAddr>) {
     let now = state.now();
     let serving = state.serving();
     let opens_at = serving.closed_until(now, target);
     state.log(&Decision::NotPermitted {
         target: target.to_string(),
         limit_per_s: serving.limit_per_s(target),
-        holder: asked.map(|holder| holder.to_string()),
+        holder: asked_holder.map(|holder| holder.to_string()),
         opens_in_ms: opens_at.map(|at| at.since(now)),
     });
 }
@@ -49,22 +50,26 @@
 async fn ask_holder(
     state: &EntryState,
     holder: SocketAddr,
-    ask: &PermitRequest,
+    request: &PermitRequest,
 ) -> Option<PermitResponse> {
-    let awaited = state.links.permits.begin(ask.number);
+    let pending = state.links.permits.begin(request.number);
     let frame = Frame {
-        permit_request: Some(ask.clone()),
+        permit_request: Some(request.clone()),
         ..Frame::default()
     };
     state.send(&[holder], &frame);
-    let answered = timeout(state.clock.as_ref(), PERMIT_MS, awaited.answer.recv());
-    answered.await?.ok()
+    let received = timeout(
+        state.clock.as_ref(),
+        PERMIT_TIMEOUT_MS,
+        pending.response.recv(),
+    );
+    received.await?.ok()
 }
 
-/// Has a call that is made in any case count towards the limit of its target.
-pub fn note_sent_anyway(state: &EntryState, target: &TargetId) {
-    let told = state.serving().note_unpermitted_send(state.now(), target);
-    if let Some((holder, frame)) = told {
+/// Counts a call that is made without permission towards the limit of its target.
+pub fn note_unpermitted_send(state: &EntryState, target: &TargetId) {
+    let report = state.serving().note_unpermitted_send(state.now(), target);
+    if let Some((holder, frame)) = report {
         state.send(&[holder], &frame);
     }
 }
