--- a/crates/bench/src/policy/setup.rs
+++ b/crates/bench/src/policy/setup.rs
@@ -36,7 +36,7 @@
 /// A request and its course through the simulation.
 #[derive(Debug)]
 pub struct RequestTrace {
-    /// The request.
+    /// Arrival of the request.
     pub arrival: Arrival,
     /// Time of the first token of the latest attempt that had one, in µs; a broken answer is generated
     /// again from its start.
--- a/crates/cli/src/ask/attempt.rs
+++ b/crates/cli/src/ask/attempt.rs
@@ -25,7 +25,7 @@
 pub(super) enum AttemptResult {
     /// No connection was opened, so nothing was sent.
     NotConnected,
-    /// The request was sent, but the answer is incomplete or invalid; the text says how.
+    /// The request was sent, but the answer is incomplete or invalid; the text describes the fault.
     Broken(String),
     /// The entry reported an outcome.
     Ended(RequestEnd),
--- a/crates/core/src/action.rs
+++ b/crates/core/src/action.rs
@@ -23,7 +23,7 @@
         request: RequestId,
         /// Address of that daemon for callers.
         to: SocketAddr,
-        /// Incarnation that issued the ticket. A later run at the same address knows nothing of the ticket
+        /// Incarnation that issued the ticket. A later run at the same address doesn't know the ticket
         /// and must not answer.
         home: Incarnation,
     },
--- a/crates/core/src/fleet/load_tracker.rs
+++ b/crates/core/src/fleet/load_tracker.rs
@@ -283,7 +283,7 @@
         let since_report_ms = now.since(self.reported_at) as f64;
         let reported_ms = (self.reported_ms - since_report_ms).max(0.0);
         // A report gives one sum for all weight classes. With medium or long work present the light
-        // part can't be told apart, so only what this daemon sent counts as light.
+        // part can't be distinguished, so only what this daemon sent counts as light.
         let only_light = medium_ms + long_ms == 0.0;
         RemainingWork {
             light_ms: self.light_sent_since_report_ms + if only_light { reported_ms } else { 0.0 },
--- a/crates/core/src/fleet/members/member.rs
+++ b/crates/core/src/fleet/members/member.rs
@@ -16,7 +16,7 @@
 /// Silence, beyond the suspicion timeout, after which a leaving daemon is declared dead, in ms.
 const LEAVING_DEAD_TIMEOUT_MS: u64 = 10_000;
 /// Time after which a suspected or dead daemon is evicted, in ms. It exceeds the time for which any
-/// update that says it is alive can circulate, so that none adds it again: each daemon passes one
+/// update that reports it as alive can circulate, so that none adds it again: each daemon passes one
 /// on for at most [`UNLINKED_SUSPECT_TIMEOUT_MS`] after it saw a sign of life, and within the first
 /// tenth of that to each link.
 const EVICT_TIMEOUT_MS: u64 = 900_000;
--- a/crates/core/src/records/buckets.rs
+++ b/crates/core/src/records/buckets.rs
@@ -30,7 +30,7 @@
         self.digests[Self::of(key)] ^= hash;
     }
 
-    /// Returns the exclusive or of all digests, which stands for all records held.
+    /// Returns the exclusive or of all digests: a digest of all records held.
     pub fn total(&self) -> u64 {
         self.digests.iter().fold(0, |total, digest| total ^ digest)
     }
--- a/crates/core/src/records/exchange.rs
+++ b/crates/core/src/records/exchange.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns all revisions held of the keys with these hashes, until `max_bytes` are reached. The
-    /// first key is returned whatever its size, so that a pull always makes progress.
+    /// first key is returned even if it is larger, so that a pull always makes progress.
     pub fn envelopes_of(&self, key_hashes: &[u64], max_bytes: usize) -> Vec<RecordEnvelope> {
         let requested: HashSet<u64> = key_hashes.iter().copied().collect();
         let mut bytes = 0;
@@ -87,7 +87,7 @@
     })
 }
 
-/// Returns whether the revision that a stamp stands for may win over what is held.
+/// Returns whether the revision that a stamp describes may replace the one held.
 fn may_change(held: &HeldRecord, stamp: &RecordStamp) -> bool {
     let known = held
         .envelopes()
--- a/crates/core/src/records/record_store.rs
+++ b/crates/core/src/records/record_store.rs
@@ -36,7 +36,7 @@
 }
 
 /// All records that this daemon holds, merged as a join: of two revisions of a key the higher wins,
-/// whatever the order of arrival. A deletion is a tombstone with a revision and wins in the same
+/// regardless of the order of arrival. A deletion is a tombstone with a revision and wins in the same
 /// way, so that a stale platform or peer can't restore a deleted record.
 ///
 /// If the newest revision of a key is invalid, the newest valid one is kept beside it. Otherwise a
--- a/crates/core/tests/peers_suite/members_view.rs
+++ b/crates/core/tests/peers_suite/members_view.rs
@@ -104,8 +104,8 @@
     assert!(all_see(&fleet, 4, None));
 }
 
-// A daemon is replaced on its instance. The former run is dead immediately and stays so, whatever a
-// daemon that missed this reports of it later.
+// A daemon is replaced on its instance. The former run is dead immediately and stays so, even if a
+// daemon that missed this reports it as alive later.
 #[test]
 fn a_new_run_on_the_same_instance_replaces_the_former_for_good() {
     let mut fleet = started_fleet(4, 1);
--- a/crates/core/tests/tickets_once.rs
+++ b/crates/core/tests/tickets_once.rs
@@ -1,4 +1,4 @@
-//! Requests that must not run twice: one run for each ticket, whatever callers resend.
+//! Requests that must not run twice: one run for each ticket, regardless of what callers resend.
 
 mod requests_fixture;
 
@@ -273,7 +273,7 @@
     assert_eq!(replayed(&actions)[0].outcome, OutcomeKind::Completed);
 }
 
-/// Guards against `not_run` for a call that was run, after which the caller would request it anew: a
+/// Guards against `not_run` for a call that was run, after which the caller would request it again: a
 /// resend with an invalid deadline is refused before its ticket is claimed.
 #[test]
 fn a_resend_refused_at_admission_does_not_end_as_not_run() {
--- a/crates/daemon/src/callers/answer.rs
+++ b/crates/daemon/src/callers/answer.rs
@@ -22,7 +22,7 @@
     Stream {
         /// Id of the request, sent in a header.
         request: RequestId,
-        /// The events.
+        /// Events of the stream, in order.
         events: ChunkReceiver,
     },
     /// The complete answer of a plain service.
--- a/crates/daemon/src/callers/connection.rs
+++ b/crates/daemon/src/callers/connection.rs
@@ -129,7 +129,7 @@
             pin_mut!(answered, gone);
             match select(answered, gone).await {
                 Either::Left((Ok(answer), _)) => answer,
-                // Dropping the receiver tells the exchange that the caller disconnected.
+                // Dropping the receiver signals to the exchange that the caller disconnected.
                 Either::Left((Err(async_channel::RecvError), _)) | Either::Right(((), _)) => {
                     return false;
                 }
--- a/crates/daemon/src/callers/exchange.rs
+++ b/crates/daemon/src/callers/exchange.rs
@@ -65,7 +65,7 @@
 }
 
 /// Submits a request and returns the channel on which its answer arrives. Dropping the receiver
-/// tells the exchange that the caller disconnected.
+/// signals to the exchange that the caller disconnected.
 pub fn begin(shared: Arc<Shared>, request: ParsedRequest) -> Receiver<Answer> {
     let (caller, answer) = async_channel::bounded(1);
     let accepted = shared.clock.now();
--- a/crates/daemon/src/callers/forward.rs
+++ b/crates/daemon/src/callers/forward.rs
@@ -42,7 +42,7 @@
 
 impl Forward<'_> {
     /// Forwards the request. The future yields `None` if the home doesn't answer in time. Dropping
-    /// it closes the connection, which tells the home that the caller disconnected.
+    /// it closes the connection, by which the home detects that the caller disconnected.
     pub fn begin(
         &self,
         shared: Arc<Shared>,
--- a/crates/daemon/src/callers/submission.rs
+++ b/crates/daemon/src/callers/submission.rs
@@ -30,9 +30,9 @@
 /// A caller's request, parsed and checked.
 #[derive(Debug)]
 pub struct ParsedRequest {
-    /// What the core decides by.
+    /// Data of the request that the core needs for its decisions.
     pub submission: Submission,
-    /// What is sent to the target.
+    /// Data that is sent to the target.
     pub work: AttemptWork,
     /// The caller's `authorization` header, passed on if the request is forwarded.
     pub key: SecretHeader,
--- a/crates/daemon/src/control/control_message.rs
+++ b/crates/daemon/src/control/control_message.rs
@@ -17,7 +17,7 @@
     Event(Event),
     /// A caller's request has been read completely.
     Submit {
-        /// The request.
+        /// The parsed request.
         submission: Box<Submission>,
         /// Receives the instructions for the request's task.
         instructions: Sender<Box<Instruction>>,
--- a/crates/daemon/src/entry/answers.rs
+++ b/crates/daemon/src/entry/answers.rs
@@ -44,7 +44,7 @@
 }
 
 impl<'a> CallerAnswer<'a> {
-    /// Creates an answer that hasn't begun. `is_last` tells that the connection closes after it.
+    /// Creates an answer that hasn't begun. With `is_last`, the connection closes after it.
     pub fn new(stream: &'a TcpStream, is_last: bool) -> Self {
         Self {
             stream,
@@ -82,12 +82,13 @@
         self.progress.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether some of the answer was written, so that no other one can be sent.
+    /// Returns whether some of the answer was written, so that no other one can be sent.
     pub fn has_begun(&self) -> bool {
         self.has_begun.load(Ordering::Relaxed)
     }
 
-    /// Whether a target may have run the request, so that no status of [`NOT_RUN_STATUSES`] may be sent.
+    /// Returns whether a target may have run the request, so that no status of [`NOT_RUN_STATUSES`] may be
+    /// sent.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run.load(Ordering::Relaxed)
     }
--- a/crates/daemon/src/entry/attempt.rs
+++ b/crates/daemon/src/entry/attempt.rs
@@ -62,7 +62,7 @@
 }
 
 impl AttemptFault {
-    /// Whether the target may have run the request.
+    /// Returns whether the target may have run the request.
     pub fn may_have_run(&self) -> bool {
         !matches!(
             self,
@@ -70,7 +70,8 @@
         )
     }
 
-    /// Whether the target is unreachable: no connection could be opened, or sent bytes weren't acknowledged.
+    /// Returns whether the target is unreachable: no connection could be opened, or sent bytes weren't
+    /// acknowledged.
     pub fn is_unreachable(&self) -> bool {
         match self {
             Self::NotSent(_) => true,
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Whether the request seems to have crashed the target. A break of a reused connection doesn't count,
-    /// since the target may just have closed it while idle.
+    /// Returns whether the request seems to have crashed the target. A break of a reused connection doesn't
+    /// count, since the target may just have closed it while idle.
     fn is_crash(&self, was_reused: bool) -> bool {
         match self {
             Self::Broken(TargetFault::Io(_) | TargetFault::Closed) => !was_reused,
--- a/crates/daemon/src/entry/decision_line.rs
+++ b/crates/daemon/src/entry/decision_line.rs
@@ -49,9 +49,9 @@
     },
     /// A configuration was activated.
     Configured {
-        /// Its version.
+        /// Version of the configuration.
         version: u64,
-        /// `store` or `peer`.
+        /// Where it came from: `store` or `peer`.
         source: &'static str,
     },
     /// A published entry, a report or a peer's frame can't be read.
@@ -64,7 +64,7 @@
     Fault {
         /// Part of the process: a listener, `links` or `reservations`.
         part: &'static str,
-        /// The error.
+        /// Error of the operation.
         fault: String,
     },
     /// The store stopped answering.
@@ -167,7 +167,7 @@
         #[serde(skip_serializing_if = "Option::is_none")]
         pause_limit_ms: Option<u64>,
         /// Hash that is the same for all retries of a request; `None` for a request without a body, which
-        /// can't be told from others.
+        /// can't be distinguished from others.
         #[serde(skip_serializing_if = "Option::is_none")]
         fingerprint: Option<String>,
         /// Number of the attempt, from 1.
@@ -187,7 +187,7 @@
         /// Time after which the caller may retry, in ms; `None` if it isn't to retry.
         retry_after_ms: Option<u64>,
         /// Hash that is the same for all retries of a request; `None` for a request without a body, which
-        /// can't be told from others.
+        /// can't be distinguished from others.
         #[serde(skip_serializing_if = "Option::is_none")]
         fingerprint: Option<String>,
         /// Inputs of the decision, if a prompt was refused for its cost to others.
@@ -200,7 +200,7 @@
         request: String,
         /// Id of the target's run.
         target: String,
-        /// The error.
+        /// Error that ended the attempt.
         fault: String,
         /// Whether the target may have run the request.
         may_have_run: bool,
--- a/crates/daemon/src/entry/entry_state.rs
+++ b/crates/daemon/src/entry/entry_state.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether the instance started recently, so that its peers may be starting as well.
+    /// Returns whether the instance started recently, so that its peers may be starting as well.
     pub fn is_starting(&self) -> bool {
         self.now().since(self.started_at) < STARTING_PERIOD_MS
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Whether the instance has ever been ready.
+    /// Returns whether the instance has ever been ready.
     pub fn was_ready(&self) -> bool {
         self.ready.0.is_closed()
     }
--- a/crates/daemon/src/entry/exchange.rs
+++ b/crates/daemon/src/entry/exchange.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether a target's answer was passed on completely and its status is a success.
+    /// Returns whether a target's answer was passed on completely and its status is a success.
     fn is_success(&self) -> bool {
         self.outcome == "answered" && self.status < 300
     }
--- a/crates/daemon/src/entry/http/input.rs
+++ b/crates/daemon/src/entry/http/input.rs
@@ -23,7 +23,7 @@
         &self.bytes
     }
 
-    /// Whether all bytes have been consumed.
+    /// Returns whether all bytes have been consumed.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
--- a/crates/daemon/src/entry/http/request_head.rs
+++ b/crates/daemon/src/entry/http/request_head.rs
@@ -104,7 +104,7 @@
         .map(|(_, value)| value.as_str())
 }
 
-/// Whether a header that is a comma-separated list contains a token.
+/// Returns whether a header that is a comma-separated list contains a token.
 pub fn has_token(headers: &[(String, String)], name: &str, token: &str) -> bool {
     values(headers, name)
         .flat_map(|value| value.split(','))
--- a/crates/daemon/src/entry/http/response_head.rs
+++ b/crates/daemon/src/entry/http/response_head.rs
@@ -54,12 +54,12 @@
         })
     }
 
-    /// Whether it is an interim answer (1xx), which the final one follows.
+    /// Returns whether it is an interim answer (1xx), which the final one follows.
     pub fn is_interim(&self) -> bool {
         self.status < OK
     }
 
-    /// Whether the status is 2xx.
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (OK..300).contains(&self.status)
     }
--- a/crates/daemon/src/entry/links/peer_links.rs
+++ b/crates/daemon/src/entry/links/peer_links.rs
@@ -48,7 +48,7 @@
         links.keys().copied().collect()
     }
 
-    /// Whether a link to a peer is open or being opened; frames are queued until it is open.
+    /// Returns whether a link to a peer is open or being opened; frames are queued until it is open.
     pub fn has(&self, address: SocketAddr) -> bool {
         lock(&self.links).contains_key(&address)
     }
--- a/crates/daemon/src/entry/permits.rs
+++ b/crates/daemon/src/entry/permits.rs
@@ -15,8 +15,8 @@
 /// instance takes to process it.
 const PERMIT_TIMEOUT_MS: u64 = 40;
 
-/// Whether a request may be sent to a target now. Asks the holder of the quota if necessary, and logs a
-/// refusal.
+/// Returns whether a request may be sent to a target now. Asks the holder of the quota if necessary, and logs
+/// a refusal.
 pub async fn is_permitted(state: &EntryState, target: &TargetId) -> bool {
     let permission = state.serving().request_permission(state.now(), target);
     let asked_holder = match permission {
--- a/crates/daemon/src/entry/request_context.rs
+++ b/crates/daemon/src/entry/request_context.rs
@@ -13,9 +13,9 @@
 /// A caller's request that has been read completely.
 #[derive(Debug)]
 pub struct ReadRequest {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Its body.
+    /// The complete body.
     pub body: Vec<u8>,
     /// When its first byte was read.
     pub arrived: MonoMs,
@@ -24,13 +24,13 @@
 /// A caller's request with its route.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// Its body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// What its headers tell this system, such as deadline and prompt size.
+    /// Values of its headers that are meant for this system, such as deadline and prompt size.
     pub caller: CallerHead,
-    /// Its route.
+    /// Route that matches its path.
     pub route: Arc<Route>,
     /// Service that was drawn from those of the route.
     pub service: ServiceName,
--- a/crates/daemon/src/entry/reservations.rs
+++ b/crates/daemon/src/entry/reservations.rs
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Whether a renewal is due. An engine that asked for a pause gets one during it only if the reservation
-    /// would expire before the pause ends.
+    /// Returns whether a renewal is due. An engine that asked for a pause gets one during it only if the
+    /// reservation would expire before the pause ends.
     fn is_renewal_due(&self, now: MonoMs, hold: &MemoryHold) -> bool {
         match self.paused_until(now, hold) {
             Some(until) => hold.expires_at() <= until,
@@ -228,7 +228,8 @@
         }
     }
 
-    /// Whether a reservation expires soon at an engine that asked for a pause, so that it isn't released.
+    /// Returns whether a reservation expires soon at an engine that asked for a pause, so that it isn't
+    /// released.
     fn expires_in_pause(&self, now: MonoMs, hold: &MemoryHold) -> bool {
         self.paused_until(now, hold).is_some() && hold.expires_at().since(now) <= HOLD_TTL_MS
     }
--- a/crates/daemon/src/entry/run.rs
+++ b/crates/daemon/src/entry/run.rs
@@ -122,18 +122,18 @@
         self.state.serving().pace_of(engine)
     }
 
-    /// Whether a connection to a target failed recently.
+    /// Returns whether a connection to a target failed recently.
     pub fn is_unreachable(&self, target: &str) -> bool {
         let now = self.state.now();
         self.state.serving().is_unreachable(now, target)
     }
 
-    /// Whether the store is considered lost: its last call failed.
+    /// Returns whether the store is considered lost: its last call failed.
     pub fn is_store_lost(&self) -> bool {
         self.state.serving().is_store_lost()
     }
 
-    /// Whether this instance follows a relay whose status is fresh, and doesn't call the store.
+    /// Returns whether this instance follows a relay whose status is fresh, and doesn't call the store.
     pub fn follows_relay(&self) -> bool {
         let now = self.state.now();
         matches!(self.state.serving().store_role(now), StoreRole::Follow(_))
--- a/crates/daemon/src/entry/store/store_calls.rs
+++ b/crates/daemon/src/entry/store/store_calls.rs
@@ -46,11 +46,11 @@
 /// Kind of a call to the store.
 #[derive(Debug, Clone, Copy)]
 pub enum CallKind {
-    /// The configuration.
+    /// Read of the configuration.
     Configuration,
-    /// A page of the targets.
+    /// Read of a page of the targets.
     Page,
-    /// The changes since a revision.
+    /// Watch for changes since a revision.
     Watch,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the instance started recently and isn't ready yet.
+    /// Returns whether the instance started recently and isn't ready yet.
     pub fn is_starting(&self) -> bool {
         self.state.is_starting() && !self.state.serving().is_ready()
     }
--- a/crates/daemon/src/entry/store/store_pace.rs
+++ b/crates/daemon/src/entry/store/store_pace.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether this instance calls the store itself because its relays are silent.
+    /// Returns whether this instance calls the store itself because its relays are silent.
     pub fn stands_in(&self) -> bool {
         self.stands_in
     }
@@ -137,7 +137,7 @@
         self.state.clock.sleep(gap_ms).await;
     }
 
-    /// Waits after a failure. `is_starting` tells that the instance isn't ready yet and the store is
+    /// Waits after a failure. `is_starting` is true if the instance isn't ready yet and the store is
     /// unreachable.
     pub async fn wait_after_failure(&self, is_starting: bool) {
         let delay_ms = if self.stands_in {
--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -253,7 +253,7 @@
             .max(patience_ms * FIRST_EVENT_PATIENCE_TENTHS / 10)
     }
 
-    /// Whether another engine may take the prompt if this attempt fails.
+    /// Returns whether another engine may take the prompt if this attempt fails.
     pub(super) fn has_another_attempt(&self) -> bool {
         let route = &self.context.route;
         route.retry_policy.is_idempotent() && self.runs + 1 < route.max_attempts
--- a/crates/daemon/src/entry/target_connection.rs
+++ b/crates/daemon/src/entry/target_connection.rs
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Whether another request may be sent: the last one was sent completely, and nothing was received after
-    /// its answer.
+    /// Returns whether another request may be sent: the last one was sent completely, and nothing was
+    /// received after its answer.
     pub fn is_reusable(&self) -> bool {
         !self.is_unusable && self.input.is_empty()
     }
 
-    /// Whether the target has closed the idle connection or sent something on it.
+    /// Returns whether the target has closed the idle connection or sent something on it.
     pub fn is_stale(&self) -> bool {
         let mut byte = [0];
         let mut stream = self.stream.inner();
--- a/crates/daemon/src/targets/attempt.rs
+++ b/crates/daemon/src/targets/attempt.rs
@@ -36,7 +36,7 @@
     },
     /// A call of a plain service.
     Call {
-        /// The service.
+        /// Service that is called.
         service: ServiceName,
         /// Client account of the caller.
         account: AccountName,
--- a/crates/daemon/src/targets/gate_test.rs
+++ b/crates/daemon/src/targets/gate_test.rs
@@ -34,7 +34,7 @@
     assert_eq!(received, b"order");
 }
 
-// Guards against a call that runs long after its caller was told that it was not run: the daemon
+// Guards against a call that runs long after its caller got `not_run` for it: the daemon
 // decides to send it, is paused, and resumes after the deadline without checking the time again.
 #[async_std::test]
 async fn a_dispatch_after_its_send_deadline_is_not_sent() {
--- a/crates/serving/src/fleet/frame.rs
+++ b/crates/serving/src/fleet/frame.rs
@@ -120,7 +120,7 @@
 /// Observed slowdown of an engine against its published timing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EnginePace {
-    /// The engine.
+    /// Id of the engine's run.
     pub id: TargetId,
     /// Factor by which it is slower than published; 1 for an engine that is as fast as published.
     pub pace: f64,
@@ -169,7 +169,7 @@
 pub struct CatchUpRequest {
     /// Peer address to which the reply is sent.
     pub reply_to: SocketAddr,
-    /// What the sender has already.
+    /// State that the sender already has.
     pub known: KnownState,
 }
 
--- a/crates/serving/src/placement/prompt_shape.rs
+++ b/crates/serving/src/placement/prompt_shape.rs
@@ -19,7 +19,7 @@
     pub utilization: f64,
     /// Whether this instance knows little of what other instances place on the engines.
     pub is_blind: bool,
-    /// Tells which mechanisms are enabled for this choice.
+    /// Mechanisms that are disabled for this choice.
     pub mechanisms: DisabledMechanisms,
 }
 
--- a/crates/serving/src/relays/followed_relays.rs
+++ b/crates/serving/src/relays/followed_relays.rs
@@ -15,7 +15,7 @@
 /// A relay with a fresh status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Relay {
-    /// Its peer address.
+    /// Peer address of the relay.
     pub address: SocketAddr,
     /// Store revision up to which it knows all changes.
     pub revision: u64,
@@ -29,7 +29,7 @@
     as_of: MonoMs,
 }
 
-/// What this instance knows of the store through its relays.
+/// State of the store as this instance knows it through its relays.
 #[derive(Debug, Default)]
 pub struct FollowedRelays {
     complete_revision: Option<u64>,
--- a/crates/serving/src/relays/relay_status.rs
+++ b/crates/serving/src/relays/relay_status.rs
@@ -21,7 +21,7 @@
 /// Request that a follower sends to a relay with each heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowRequest {
-    /// What the follower knows.
+    /// State that the follower has.
     pub known: KnownState,
     /// Whether it requests each change as it comes; otherwise it gets only what its heartbeats show that it
     /// lacks.
@@ -33,7 +33,7 @@
 /// changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayStatus {
-    /// What the relay knows.
+    /// State that the relay has.
     pub known: KnownState,
     /// Time since the store confirmed this to the relay, in ms.
     pub age_ms: u64,
--- a/crates/serving/src/serving.rs
+++ b/crates/serving/src/serving.rs
@@ -68,11 +68,11 @@
     last_job_number: u64,
     /// Own state as of the last heartbeat; `None` before the first.
     last_stated: Option<Member>,
-    /// Whether this instance, as a hub, has learned something of a member that its last roster lacks.
+    /// Whether this instance, as a hub, knows a change of a member that isn't in its last roster.
     is_roster_due: bool,
     /// When this instance knows all prompts that it should know, after its start or its last new role.
     settled_at: MonoMs,
-    /// What a peer has known for a while and this instance still lacks.
+    /// Published state that a peer has known for some time and this instance still lacks.
     lag: Option<PeerLag>,
     /// The relays that this instance follows, and what it knows of the store through them.
     followed_relays: FollowedRelays,
@@ -82,7 +82,7 @@
     read_at: Option<MonoMs>,
     /// Time of the first call that the store didn't answer since its last answer; `None` while it answers.
     store_lost_since: Option<MonoMs>,
-    /// Tells which mechanisms are enabled; all are by default.
+    /// Mechanisms that are disabled; none by default.
     mechanisms: DisabledMechanisms,
     /// When a peer last reported a placed prompt; `None` if none ever has.
     last_peer_prompt_at: Option<MonoMs>,
@@ -208,8 +208,8 @@
     /// Guards against a lasting disagreement on the number of groups. Since the number falls again only far
     /// below where it rose, instances of which some had seen many engines at the same time while targets
     /// were replaced, and others not, would keep different numbers. Each engine then got prompts from two
-    /// deciders that knew nothing of each other's, and of 3,936 short prompts in eleven seconds 478 began
-    /// late.
+    /// deciders that didn't know of each other's prompts, and of 3,936 short prompts in eleven seconds 478
+    /// began late.
     fn resize_groups(&mut self, now: MonoMs) {
         if let Some(count) = self.members.hub_group_count(now, self.own.peer_address) {
             self.groups.adopt(count);
--- a/crates/serving/src/targets/target_registry.rs
+++ b/crates/serving/src/targets/target_registry.rs
@@ -225,8 +225,8 @@
 
     /// Records that a run announced that it leaves, here or to a peer. Returns whether that is new.
     ///
-    /// The run gets no requests any more, whatever is published: the store may be unavailable, and its entry
-    /// is older than the announcement. The announcement may arrive before the entry.
+    /// The run gets no more requests, even if it is still published: the store may be unavailable, and its
+    /// entry is older than the announcement. The announcement may arrive before the entry.
     pub fn record_leaving(&mut self, now: MonoMs, run: &TargetId) -> bool {
         self.leaving.insert(run.clone(), now).is_none()
     }
--- a/crates/serving/tests/serving/properties.rs
+++ b/crates/serving/tests/serving/properties.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Whatever is reported of prompts, in any order, an engine is idle once all of them have ended.
+    /// An engine is idle once all of its prompts have ended, for any reports on them in any order.
     #[test]
     fn nothing_stays_at_an_engine_when_all_prompts_are_over(
         steps in prop::collection::vec(step(), 1..60),
--- a/crates/serving/tests/serving/relays.rs
+++ b/crates/serving/tests/serving/relays.rs
@@ -115,7 +115,7 @@
 }
 
 /// Guards against relays that never read the store again after it refused them for five seconds: they have
-/// followed others since, and nothing tells them that the store serves them again.
+/// followed others since, and nothing shows them that the store serves them again.
 #[test]
 fn relays_that_the_store_refused_for_a_while_read_it_again() {
     let mut fleet = settled_fleet(60, 3);
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -21,7 +21,7 @@
 const LIMIT_WINDOW: Duration = Duration::from_secs(4);
 /// Factor by which the operators tolerate requests beyond the limit.
 const LIMIT_TOLERANCE: f64 = 1.5;
-/// Requests that they tolerate beside the factor.
+/// Requests that they tolerate in addition to the factor.
 const LIMIT_BURST: f64 = 5.0;
 /// Findings of a promise that are reported one by one; the others are only counted.
 const MAX_REPORTED_FINDINGS: usize = 5;
--- a/crates/wire/src/caller/outcome.rs
+++ b/crates/wire/src/caller/outcome.rs
@@ -4,7 +4,7 @@
     std::fmt,
 };
 
-/// The class of a request's end, which tells a caller whether repeating it is safe.
+/// The class of a request's end, by which a caller decides whether repeating it is safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeKind {
--- a/crates/wire/src/peer/news.rs
+++ b/crates/wire/src/peer/news.rs
@@ -80,8 +80,8 @@
     pub short: u64,
     /// Version of the newest [`MemberNews`] about the daemon that the sender knows.
     pub version: u64,
-    /// Counter that the daemon itself raises while it is alive; a higher value is a sign of life,
-    /// whoever passes it on.
+    /// Counter that the daemon itself raises while it is alive; a higher value shows that it is
+    /// alive, even if another daemon passes it on.
     pub beat: u64,
 }
 
