--- a/check.sh
+++ b/check.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
-# Checks the whole tree: formatter, linter, every test, and the specification.
-# The same verdict every time; no part of it measures time.
+# Checks the whole tree: formatter, linter, documentation, all tests, soak runs and specification.
+# No part of it measures time, so that the same tree always gets the same verdict.
 set -euo pipefail
 cd "$(dirname "$0")"
 
 step() { printf '\n== %s\n' "$1"; }
 
-# Tests that fail for a known fault stand in KNOWN-RED.txt, an entry each of four lines:
+# KNOWN-RED.txt lists the tests that fail for a known fault, with four lines per entry:
 #   test: its full name
-#   command: how it is run, with its seed
-#   seen: what was seen
+#   command: the command that runs it, with its seed
+#   seen: the observed failure
 #   issue: the open issue
-# Just these tests are passed over, and the entries are printed at the end.
+# Only these tests are skipped; their entries are printed at the end.
 known_red=()
 if [ -s KNOWN-RED.txt ]; then
   tests=$(grep -c '^test: .' KNOWN-RED.txt || true)
@@ -39,10 +39,10 @@
 cargo build --workspace --bins --quiet
 cargo test --workspace --quiet -- --exact "${known_red[@]}"
 
-# Short seeds, of planned work only and of faults of all kinds, one with targets that start again
-# under their names and entries of other writers, two with targets that name limits, leave without an entry
-# or want nothing for a while, and those that ever showed a fault.
-# Longer runs are made by hand.
+# Short soak runs: seeds with planned work only and with faults of all kinds, one with targets that
+# restart under the same name and entries of other writers, two with targets that announce limits,
+# leave without an entry or refuse requests for some time, and all seeds that once found a fault.
+# Longer runs are started manually.
 step "soak"
 target/debug/whinlatch-soak --seeds 3 --seeds 7 --seconds 4
 target/debug/whinlatch-soak --seeds 8 --seconds 4 --restarts-per-s 2
--- a/demo.sh
+++ b/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Builds whinlatch, starts a platform, four engines, a plain service and three daemons as processes
 # on free loopback ports, and serves prompts and calls while a share changes, one daemon leaves and
-# another is killed. Ends with one line that is counted from what callers and fakes saw.
+# another is killed. The last line it prints counts the outcomes that callers and fakes recorded.
 set -euo pipefail
 cd "$(dirname "$0")"
 
@@ -20,7 +20,7 @@
 declare -A pid address
 pids=()
 
-# Ends the processes that this script started, by their ids, however the script ends.
+# Ends the processes that this script started, by their ids, on every exit of the script.
 clean_up() {
   trap - EXIT INT TERM
   for id in "${pids[@]}"; do
@@ -35,7 +35,7 @@
 
 say() { printf '%s\n' "$*"; }
 
-# start NAME COMMAND...: runs it in the background until it has told where it listens.
+# start NAME COMMAND...: runs the command in the background and waits until it prints its address.
 start() {
   local name=$1
   shift
@@ -50,7 +50,7 @@
   until "$@"; do sleep 0.05; done
 }
 
-# http METHOD ADDRESS PATH [BODY]: prints the answer's body.
+# http METHOD ADDRESS PATH [BODY]: sends a request and prints the body of the answer.
 http() {
   local method=$1 host=${2%:*} port=${2##*:} path=$3 body=${4-} fd
   exec {fd}<>"/dev/tcp/$host/$port"
@@ -113,7 +113,8 @@
   address[$1.peers]=$(sed 's/.*peers=\([^ ]*\).*/\1/' <<<"$line")
 }
 
-# The platform's list lags behind; here it is set as if the instances had just come.
+# Sets the platform's list of instances. A platform's list lags behind; here the new instances are
+# listed immediately.
 list_instances() {
   local name daemons=""
   for name in "${DAEMONS[@]}"; do
@@ -125,7 +126,7 @@
     "{\"instances\":{\"version\":0,\"daemons\":[$daemons],\"targets\":[]}}" >>"$dir/publish.log"
 }
 
-# Whether a daemon has links to the two others and knows the runs of all targets.
+# Succeeds if a daemon has links to the two others and knows the runs of all targets.
 is_ready() {
   local status
   status=$(target/debug/whinlatch status --json --entry "${address[$1]}") || return 1
@@ -134,15 +135,15 @@
     [ "$(grep -o '"prefill_tokens_per_s"' <<<"$status" | wc -l)" -eq 5 ]
 }
 
-# Whether the route is in force on all three daemons, at this revision or a later one.
+# Succeeds if the route is in force on all three daemons, at this revision or a later one.
 is_in_force_everywhere() {
   target/debug/whinlatch records --entry "${address[entry-3]}" | awk -v revision="$1" '
     $1 == "routes/assistant" && $3 >= revision && split($4, holders, ",") == 3 { found = 1 }
     END { exit !found }'
 }
 
-# ask FILE OPTION...: sends requests by the command-line tool in the background; its answers go to
-# FILE.
+# ask FILE OPTION...: sends requests with the command-line tool in the background and writes the
+# answers to FILE.
 ask() {
   local file=$dir/$1
   shift
@@ -190,7 +191,7 @@
   done
 }
 
-# Lines `number outcome words text` of a file of answers to prompts.
+# Prints a line `number outcome words text` for each answer to a prompt in a file.
 prompt_lines() {
   sed -n 's/.*"number":\([0-9]*\).*"outcome":"\([a-z_]*\)".*"text":"\([^"]*\)".*/\1 \2 \3/p' \
     "$dir/$1" | awk '{ n = $1; o = $2; $1 = ""; $2 = ""; print n, o, NF - 2, $0 }' | sort -n
@@ -198,7 +199,7 @@
 
 count_outcome() { cat "$dir"/answers-*.json | grep -c "\"outcome\":\"$1\"" || true; }
 
-# Completed answers that aren't whole, or differ from the answer that the same prompt got before.
+# Counts the completed answers that are truncated or differ from an earlier answer to the same prompt.
 count_wrong_answers() {
   local file
   {
@@ -216,13 +217,13 @@
     END { print wrong + 0 }'
 }
 
-# Lines `body runs` of what the service ran.
+# Prints a line `body runs` for each call that the service ran.
 service_runs() {
   http GET "${address[labels]}" /standin/stats | grep -o '"runs_by_key":{[^}]*}' |
     grep -o '"answers[^"]*":[0-9]*' | sed 's/"\(.*\)":/\1 /'
 }
 
-# Lines `body outcome` of the calls.
+# Prints a line `body outcome` for each call.
 label_outcomes() {
   local file
   for file in answers-labels-a.json answers-labels-c.json; do
@@ -230,7 +231,7 @@
   done
 }
 
-# Calls that completed without a run, or ran though it was told that they were not.
+# Counts the calls that were reported as completed but never ran, or as not run but did run.
 count_false_outcomes() {
   { service_runs | sed 's/^/runs /'; label_outcomes | sed 's/^/told /'; } | awk '
     $1 == "runs" { ran[$2 " " $3] = $4; next }
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Checks the Promela models with Spin: each model exhaustively, then each variant with one
-# guard removed, which must fail, and fail by the assertion that the guard is there for.
+# guard removed, which must violate the assertion that the guard protects.
 # Prints one line per run; exits 0 only if every verdict is as expected.
 set -euo pipefail
 
@@ -8,7 +8,7 @@
 readonly MAX_DEPTH=20000
 readonly MEMORY_LIMIT_MB=900
 
-# model | flags | expected verdict: "holds", or a part of the assertion that must fail
+# model | flags | expected verdict: "holds", or part of the text of the assertion that must fail
 readonly RUNS='
 records||holds
 orders|-DSPLIT_CHECK|holds
@@ -63,7 +63,7 @@
 work_dir=$(mktemp -d)
 trap 'rm -rf "$work_dir"' EXIT
 
-# Builds one verifier, runs it and leaves its verdict in $work_dir/$number/verdict.
+# Builds and runs one verifier, and writes its verdict to $work_dir/$number/verdict.
 check() {
 	local number=$1 model=$2 flags=$3 expected=$4
 	local dir=$work_dir/$number
@@ -72,7 +72,7 @@
 	mkdir "$dir"
 	cd "$dir"
 
-	# shellcheck disable=SC2086 # flags are words
+	# shellcheck disable=SC2086 # flags are separate arguments
 	if ! spin -a $flags "$spec_dir/$model.pml" >build.log 2>&1 ||
 		! gcc "$optimise" -w -DSAFETY -DNOREDUCE -DMEMLIM="$MEMORY_LIMIT_MB" -o pan pan.c >>build.log 2>&1; then
 		printf '%-8s %-38s %9s  WRONG: does not build: %s\n' "$model" "${flags:-(all guards)}" - "$(head -1 build.log)" >verdict
--- a/spec/guards.sh
+++ b/spec/guards.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
 # Removes each guard of guards.txt in a scratch copy and runs the test that must fail without it.
-# By hand: each guard costs a build. Exits with 1 if a removal isn't found.
-# With an argument, only those whose test has it in its name.
+# Run manually, since each guard needs a build. Exits with 1 if a test passes without its guard, a
+# guard's text isn't in its file, or the changed copy doesn't build.
+# With an argument, only the guards whose test name contains it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-# Most that a test without its guard may run, in s: many wait for what never comes then.
+# Time limit of a test without its guard, in s: many then wait for an event that never occurs.
 most_s=60
 scratch=target/guards
 missed=0
