--- a/crates/bench/src/capacity/measure/idle_cost.rs
+++ b/crates/bench/src/capacity/measure/idle_cost.rs
@@ -19,7 +19,7 @@
     pub peer_bytes_in: f64,
     /// Peer frames sent.
     pub frames_out: f64,
-    /// Calls to targets.
+    /// Requests sent to targets, such as reads of reports.
     pub target_calls: f64,
     /// Bytes of calls to targets and of the responses.
     pub target_bytes: f64,
--- a/crates/bench/src/capacity/size.rs
+++ b/crates/bench/src/capacity/size.rs
@@ -8,7 +8,7 @@
 pub const ACCOUNTS: usize = 38_000;
 /// Models in constant use.
 pub const MODELS: usize = 7;
-/// Regions.
+/// Regions among which the daemons are divided evenly.
 pub const REGIONS: usize = 2;
 /// Failure domains in all regions together.
 pub const FAILURE_DOMAINS: usize = 6;
--- a/crates/bench/src/policy/baseline.rs
+++ b/crates/bench/src/policy/baseline.rs
@@ -65,7 +65,7 @@
     report_requested_at: MonoMs,
 }
 
-/// An open request.
+/// State of a request until its end.
 #[derive(Debug)]
 struct OpenRequest {
     prompt_tokens: u64,
--- a/crates/bench/src/policy/engine.rs
+++ b/crates/bench/src/policy/engine.rs
@@ -43,11 +43,11 @@
 /// Progress or end of an attempt, for the daemon that sent it.
 #[derive(Debug)]
 pub struct AttemptUpdate {
-    /// Index of the daemon.
+    /// Index of the daemon that sent the attempt.
     pub daemon: usize,
-    /// The attempt.
+    /// Attempt that the event belongs to.
     pub attempt: AttemptId,
-    /// What happened to it.
+    /// Progress or end of the attempt.
     pub event: AttemptEvent,
 }
 
--- a/crates/core/src/core/on_poison.rs
+++ b/crates/core/src/core/on_poison.rs
@@ -136,7 +136,8 @@
     }
 
     /// Returns the targets that a request avoids if another exists: those where it was tried and, if that
-    /// leaves others, those where it would run beside a suspect or, as a suspect itself, beside any request.
+    /// leaves others, those where it would run together with a suspect or, as a suspect itself, with any
+    /// request.
     pub(super) fn avoided_targets(&self, now: MonoMs, request: RequestId) -> Vec<TargetName> {
         let Some(entry) = self.requests.get(request) else {
             return Vec::new();
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -46,7 +46,7 @@
     Forwarded,
 }
 
-/// An attempt in flight.
+/// An attempt that was sent to a target and has not ended.
 #[derive(Debug, Clone)]
 pub struct InFlightAttempt {
     /// Id of the attempt.
--- a/crates/core/tests/peers_suite/fleet.rs
+++ b/crates/core/tests/peers_suite/fleet.rs
@@ -62,7 +62,7 @@
     /// Ordered pairs of nodes between which no frame passes, though their connection stays open.
     pub blocked: BTreeSet<(usize, usize)>,
     links: BTreeSet<(usize, usize)>,
-    /// Links whose current connection passes nothing any more, while a new one works.
+    /// Links whose current connection no longer delivers frames, while a new one works.
     pub dead_connections: BTreeSet<(usize, usize)>,
     scheduled: BTreeMap<(u64, u64), Scheduled>,
     sequence: u64,
--- a/crates/core/tests/peers_suite/records_exchange.rs
+++ b/crates/core/tests/peers_suite/records_exchange.rs
@@ -126,7 +126,7 @@
     assert!(bytes < 100_000, "{bytes} bytes");
 }
 
-// Guards against a daemon that never gets any records: it starts empty beside one that holds 40 records
+// Guards against a daemon that never gets any records: it starts empty next to one that holds 40 records
 // of a megabyte each. All of them in one frame exceed the limit, and the link breaks each time.
 #[test]
 fn large_records_travel_in_frames_under_the_limit() {
@@ -146,7 +146,7 @@
     assert!(fleet.largest_frame_bytes < MAX_FRAME_BYTES / 2);
 }
 
-// A daemon that starts beside seven others must not fetch all records from each of them.
+// A daemon that starts next to seven others must not fetch all records from each of them.
 #[test]
 fn a_start_fetches_the_records_about_once() {
     let mut fleet = fleet(8, 3);
--- a/crates/core/tests/peers_suite/records_platform.rs
+++ b/crates/core/tests/peers_suite/records_platform.rs
@@ -115,7 +115,7 @@
     assert_eq!(in_force(&fleet, 0, "d"), Some(Revision(5)));
 }
 
-// A daemon starts beside a peer that holds the newest records, and reads a stale platform first.
+// A daemon starts next to a peer that holds the newest records, and reads a stale platform first.
 // Records that the stale platform lacks must not be deleted.
 #[test]
 fn a_stale_platform_at_the_start_deletes_nothing() {
--- a/crates/daemon/src/entry/store/store_reader.rs
+++ b/crates/daemon/src/entry/store/store_reader.rs
@@ -116,9 +116,9 @@
 
     /// Reads everything once and then each change, until a call fails.
     ///
-    /// What was read is kept when a call fails. Hundreds of instances that start at the same time use up the
-    /// store's quota of calls, and if each refusal made them begin again, none would ever finish; and all would
-    /// read everything again after each short outage of the store.
+    /// The state read so far is kept when a call fails. Hundreds of instances that start at the same time use
+    /// up the store's quota of calls, and if each refusal made them begin again, none would ever finish; and
+    /// all would read everything again after each short outage of the store.
     async fn read_until_failure(&mut self) -> Result<Infallible, ReadFault> {
         loop {
             match self.pace.next_turn().await {
--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -41,13 +41,13 @@
 /// Assumed length of an answer if the caller gives no estimate, in tokens.
 const ASSUMED_ANSWER_TOKENS: u32 = 600;
 
-/// How an attempt ended that no other one follows.
+/// End of the last attempt of a stream.
 pub(super) enum StreamEnd {
     /// All events were passed on.
     Complete,
     /// The engine answered with an error status.
     Failure(ResponseHead, Vec<u8>),
-    /// The caller is gone.
+    /// The caller disconnected before the end.
     CallerGone,
 }
 
--- a/crates/daemon/src/entry/target_connection.rs
+++ b/crates/daemon/src/entry/target_connection.rs
@@ -40,7 +40,7 @@
     Answered,
 }
 
-/// A connection to a target.
+/// An HTTP connection to a target, which serves one request after the other.
 #[derive(Debug)]
 pub struct TargetConnection {
     stream: GuardedStream,
--- a/crates/serving/src/placement/placement_context.rs
+++ b/crates/serving/src/placement/placement_context.rs
@@ -17,7 +17,7 @@
     pub now: MonoMs,
     /// Published timing and capacity of the engines.
     pub spec: &'a EngineSpec,
-    /// The prompt.
+    /// Properties of the prompt.
     pub shape: &'a PromptShape,
 }
 
--- a/crates/serving/src/relays/followers.rs
+++ b/crates/serving/src/relays/followers.rs
@@ -68,7 +68,7 @@
             is_new: true,
         });
         // A follower is new again if it starts to request changes, since its other relay has failed, or if it
-        // has restarted and knows nothing.
+        // has restarted and has no state.
         follower.is_new |= follow.requests_changes && !follower.follow.requests_changes;
         follower.is_new |= !follow.known.covers(&follower.follow.known);
         follower.follow = follow;
--- a/crates/serving/src/serving/prompts.rs
+++ b/crates/serving/src/serving/prompts.rs
@@ -320,7 +320,7 @@
     }
 }
 
-/// Returns the affinity of an instance's run to an engine, from 0 to 1. It lets instances that know nothing
+/// Returns the affinity of an instance's run to an engine, from 0 to 1. With it, instances that don't know
 /// of each other, as after a restart of all of them, choose different engines.
 fn affinity(run: u64, engine: &str) -> f64 {
     let hash = xxh3_64_with_seed(engine.as_bytes(), run);
--- a/crates/serving/src/targets/address_owners.rs
+++ b/crates/serving/src/targets/address_owners.rs
@@ -10,7 +10,7 @@
 /// A published entry that competes with others for its address.
 #[derive(Debug, Clone, Copy)]
 pub struct AddressClaim<'a> {
-    /// The entry.
+    /// Entry with the address in question.
     pub entry: &'a TargetEntry,
     /// Revision of the store at which it was written.
     pub revision: u64,
--- a/crates/serving/src/targets/target_registry.rs
+++ b/crates/serving/src/targets/target_registry.rs
@@ -78,7 +78,7 @@
         self.store_lost = true;
     }
 
-    /// Records that the store answered.
+    /// Records that the store answered, which ends an outage.
     pub fn record_store_answer(&mut self, now: MonoMs) {
         if self.store_lost {
             self.store_lost = false;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -45,7 +45,7 @@
     HoldBack,
     /// Bytes pass with a delay.
     Slow,
-    /// Open connections pass nothing any more; new ones work.
+    /// Open connections no longer carry any bytes; new ones work.
     Silence,
 }
 
@@ -64,7 +64,7 @@
     Doubling,
     /// Responds with success but without a seal.
     Unsealed,
-    /// Refuses requests as not run and asks for no others for a while.
+    /// Refuses requests as not run and asks to be sent no others for some time.
     Pausing,
 }
 
--- a/crates/standins/src/platform/state.rs
+++ b/crates/standins/src/platform/state.rs
@@ -27,7 +27,8 @@
     instance_lag: Duration,
     /// Version of the last list of instances that was set.
     list_version: u64,
-    /// The visible list, followed by those that become visible at the time beside them, in order of versions.
+    /// The visible list, followed by later ones, each with the time at which it becomes visible, in order of
+    /// versions.
     instances: VecDeque<(Instant, InstanceList)>,
     recent_reads: VecDeque<Instant>,
     reads_per_s: usize,
--- a/crates/standins/src/standin.rs
+++ b/crates/standins/src/standin.rs
@@ -60,7 +60,7 @@
 /// Open connection of a caller.
 #[derive(Debug)]
 pub struct Connection {
-    /// Whether nothing is sent on the connection any more.
+    /// Whether the fake has stopped sending on the connection.
     silent: AtomicBool,
     /// Whether the connection carries a control request, which outlives a crash of the fake.
     control: AtomicBool,
--- a/crates/standins/tests/standins/engine.rs
+++ b/crates/standins/tests/standins/engine.rs
@@ -381,7 +381,7 @@
 }
 
 /// Simulates a device on the way, such as a NAT gateway, that has lost the state of open connections: they
-/// carry nothing any more, while new ones work.
+/// no longer carry any bytes, while new ones work.
 #[async_std::test]
 async fn open_connections_go_silent_while_new_ones_work() {
     let engine = start(fast_engine()).await;
--- a/crates/standins/tests/standins/relay.rs
+++ b/crates/standins/tests/standins/relay.rs
@@ -44,7 +44,7 @@
 }
 
 /// Simulates a device on the way, such as a NAT gateway, that has lost the state of open connections: they
-/// carry nothing any more, while new ones work.
+/// no longer carry any bytes, while new ones work.
 #[async_std::test]
 async fn open_connections_go_silent_while_new_ones_work() {
     let (_platform, relay) = relayed_platform().await;
--- a/crates/wire/src/target/report.rs
+++ b/crates/wire/src/target/report.rs
@@ -18,7 +18,7 @@
     pub prefill_tokens_left: u64,
     /// Memory in use that can't be evicted, in tokens.
     pub memory_used_tokens: u64,
-    /// Total memory, in tokens.
+    /// Capacity of the target's memory, in tokens.
     pub memory_total_tokens: u64,
     /// Memory held for attempts and reservations.
     #[serde(default)]
