--- a/crates/daemon/src/entry/stream_relay.rs
+++ b/crates/daemon/src/entry/stream_relay.rs
@@ -41,13 +41,13 @@
 /// Assumed length of an answer if the caller gives no estimate, in tokens.
 const ASSUMED_ANSWER_TOKENS: u32 = 600;
 
-/// How an attempt ended that no other one follows.
+/// End of the last attempt of a stream.
 pub(super) enum StreamEnd {
     /// All events were passed on.
     Complete,
     /// The engine answered with an error status.
     Failure(ResponseHead, Vec<u8>),
-    /// The caller is gone.
+    /// The caller disconnected before the end.
     CallerGone,
 }
 
@@ -253,7 +253,7 @@
             .max(patience_ms * FIRST_EVENT_PATIENCE_TENTHS / 10)
     }
 
-    /// Whether another engine may take the prompt if this attempt fails.
+    /// Returns whether another engine may take the prompt if this attempt fails.
     pub(super) fn has_another_attempt(&self) -> bool {
         let route = &self.context.route;
         route.retry_policy.is_idempotent() && self.runs + 1 < route.max_attempts
